--- a/features/front_bench.py
+++ b/features/job_api_bench.py
@@ -4,19 +4,19 @@
 
 import time
 
-from rackvalve.manager import front
+from rackvalve.manager import job_api
 from rackvalve.manager import view as views
 from rackvalve import telemetry
 
 
-def make_front(context, store, item, age):
-    """Make a front whose view was confirmed some seconds ago."""
+def make_job_api(context, store, item, age):
+    """Make a job API whose view was confirmed some seconds ago."""
     context.store = store
     context.view = views.View()
     context.view.take_item(item)
     context.view.note_contact()
     context.view.note_confirmed(time.monotonic() - age)
-    context.front = front.Front(
+    context.job_api = job_api.JobApi(
         store,
         context.view,
         telemetry.Telemetry(),
--- a/features/steps/count_age_steps.py
+++ b/features/steps/count_age_steps.py
@@ -9,7 +9,7 @@
 import behave
 import gevent
 
-from features import front_bench
+from features import job_api_bench
 from features.steps import currency_steps
 from rackvalve.jobs import definition
 from rackvalve.jobs import progress
@@ -75,7 +75,7 @@
         revision=1,
         created=1,
     )
-    front_bench.make_front(context, CountStore(item), item, 0.1)
+    job_api_bench.make_job_api(context, CountStore(item), item, 0.1)
     phases = (
         [progress.Phase.QUEUED] * waiting
         + [progress.Phase.RUNNING] * begun
@@ -139,7 +139,7 @@
     statuses, bodies = [], []
 
     def call():
-        body = context.front(
+        body = context.job_api(
             {
                 "REQUEST_METHOD": "GET",
                 "HTTP_HOST": currency_steps.HOST,
@@ -176,7 +176,7 @@
         store.items.pop(counts.WAITING_KEY, None)
         PUBLISHED[row["the owner has published"]](context)
         # What was counted for another row is not told again.
-        context.front._counter = counts.Counter(store)
+        context.job_api._counter = counts.Counter(store)
         store.lists_fail = row["the store"] == "does not list"
         store.silent = row["the store"] == "is silent"
         context.view.note_confirmed(time.monotonic())
--- a/features/steps/currency_steps.py
+++ b/features/steps/currency_steps.py
@@ -8,7 +8,7 @@
 import gevent
 import msgspec
 
-from features import front_bench
+from features import job_api_bench
 from rackvalve.platform import documents
 from rackvalve.platform import store as stores
 from rackvalve.scheduling import queues
@@ -58,9 +58,9 @@
 
 
 @behave.given("a process whose view was confirmed {age:f} s ago")
-def make_front(context, age):
+def make_job_api(context, age):
     item = make_item(1, KNOWN)
-    front_bench.make_front(context, FakeStore(item), item, age)
+    job_api_bench.make_job_api(context, FakeStore(item), item, age)
 
 
 @behave.given("a newer configuration without the queue in the store")
@@ -88,7 +88,7 @@
         context.headers.extend(headers)
 
     def call():
-        context.front(
+        context.job_api(
             {
                 "REQUEST_METHOD": "GET",
                 "HTTP_HOST": HOST,
--- a/features/steps/key_steps.py
+++ b/features/steps/key_steps.py
@@ -9,7 +9,7 @@
 import gevent
 import msgspec
 
-from features import front_bench
+from features import job_api_bench
 from rackvalve.jobs import definition
 from rackvalve.jobs import progress
 from rackvalve.jobs import records
@@ -108,7 +108,7 @@
 @behave.given("an entry whose view was confirmed {age:f} s ago")
 def make_entry(context, age):
     item = make_item(1)
-    front_bench.make_front(context, FakeStore(item), item, age)
+    job_api_bench.make_job_api(context, FakeStore(item), item, age)
     context.statuses = []
     context.headers = []
 
@@ -170,7 +170,7 @@
         context.statuses.append(int(status[:3]))
         context.headers.extend(headers)
 
-    context.front(environ, note_answer)
+    context.job_api(environ, note_answer)
 
 
 @behave.when('a caller asks for its job with the key "{key}"')
--- a/src/rackvalve/manager/front.py
+++ b/src/rackvalve/manager/job_api.py
@@ -114,7 +114,7 @@
         return not self.queue.needs_key or self.workspace is not None
 
 
-class Front:
+class JobApi:
     """Answers callers.
 
     :param store: The store.
--- a/src/rackvalve/manager/program.py
+++ b/src/rackvalve/manager/program.py
@@ -14,7 +14,7 @@
 from rackvalve import errors
 from rackvalve import logs
 from rackvalve.manager import election
-from rackvalve.manager import front as fronts
+from rackvalve.manager import job_api
 from rackvalve.manager import owner as owners
 from rackvalve.manager import timing
 from rackvalve.manager import view as views
@@ -51,7 +51,7 @@
         self._settings = settings
         self._leaving = False
         self._ended = event.Event()
-        self._front_listener: servers.Server | None = None
+        self._job_api_listener: servers.Server | None = None
         vm = settings.get("instance", "vm", str)
         self._name = f"{vm} {random.getrandbits(32):08x}"
         address = settings.get("manager", "store", kinds.Address)
@@ -71,7 +71,7 @@
         )
         self._adviser = self._make_adviser()
         self._view = views.View()
-        self._front = fronts.Front(
+        self._job_api = job_api.JobApi(
             self._store,
             self._view,
             self._telemetry,
@@ -96,9 +96,9 @@
         gevent.signal_handler(signal.SIGTERM, self._leave)
         gevent.signal_handler(signal.SIGINT, self._leave)
         gevent.signal_handler(signal.SIGHUP, self._reload)
-        self._front_listener = self._listen("front_listen", self._front)
+        self._job_api_listener = self._listen("front_listen", self._job_api)
         listeners = [
-            self._front_listener,
+            self._job_api_listener,
             self._listen("ready_listen", self._tell_ready),
             self._listen("metrics_listen", self._telemetry.make_app()),
         ]
@@ -117,7 +117,7 @@
         self._ended.wait()
         for listener in listeners:
             listener.stop(timeout=0)
-        logs.write_event("program.stopped", unanswered=self._front.active)
+        logs.write_event("program.stopped", unanswered=self._job_api.active)
         return EXIT_OK
 
     def _listen(self, key: str, application: object) -> servers.Server:
@@ -165,7 +165,7 @@
         )
 
     def _tell_ready(
-        self, environ: dict[str, str], start_response: fronts.StartResponse
+        self, environ: dict[str, str], start_response: job_api.StartResponse
     ) -> list[bytes]:
         silence = self._view.silence(clocks.read_steady())
         ready = (
@@ -181,7 +181,7 @@
         if self._leaving:
             return
         self._leaving = True
-        logs.write_event("program.stopping", requests=self._front.active)
+        logs.write_event("program.stopping", requests=self._job_api.active)
         gevent.spawn(self._finish)
 
     def _finish(self) -> None:
@@ -189,9 +189,9 @@
         grace = self._settings.get("manager", "grace_time", float)
         began = clocks.read_steady()
         gevent.sleep(min(timing.LEAVE_S, grace / 2))
-        if self._front_listener is not None:
+        if self._job_api_listener is not None:
             # Connections that are open are served on.
-            self._front_listener.close()
+            self._job_api_listener.close()
         self._wait_for_calls(began + grace - timing.END_MARGIN_S)
         self._ended.set()
 
@@ -203,7 +203,7 @@
         quiet_since = clocks.read_steady()
         while clocks.read_steady() < until:
             now = clocks.read_steady()
-            if self._front.active:
+            if self._job_api.active:
                 quiet_since = now
             elif now - quiet_since >= timing.LAST_CALLS_S:
                 return
