--- a/src/rackvalve/manager/job_api.py
+++ b/src/rackvalve/manager/job_api.py
@@ -24,7 +24,7 @@
 from rackvalve.jobs import records
 from rackvalve import logs
 from rackvalve.manager import counts
-from rackvalve.manager import currency as currencies
+from rackvalve.manager import revalidation
 from rackvalve.manager import timing
 from rackvalve.manager import view as views
 from rackvalve.platform import callers
@@ -133,7 +133,7 @@
     ) -> None:
         self._store = store
         self._view = view
-        self._currency = currencies.Currency(store, view)
+        self._revalidator = revalidation.Revalidator(store, view)
         self._counter = counts.Counter(store)
         self._telemetry = telemetry
         self._is_leaving = is_leaving
@@ -207,7 +207,7 @@
         # be true now, since it may have been given a moment ago.
         known = self._find_match(host, path, shown).allowed
         since = now - timing.VIEW_AGE_S if known else now
-        if not self._currency.confirm(since, until):
+        if not self._revalidator.confirm(since, until):
             return _refuse("the newest configuration is not known")
         match = self._find_match(host, path, shown)
         if match.queue is None:
--- a/src/rackvalve/manager/currency.py
+++ b/src/rackvalve/manager/revalidation.py
@@ -17,7 +17,7 @@
 from rackvalve.platform import store as stores
 
 
-class Currency:
+class Revalidator:
     """Compares the configuration held with the store's.
 
     :param store: The store.
