--- a/src/rackvalve/manager/contact.py
+++ b/src/rackvalve/manager/contact.py
@@ -13,7 +13,7 @@
 from rackvalve import clocks
 from rackvalve.jobs import progress
 from rackvalve import logs
-from rackvalve.manager import ports
+from rackvalve.manager import protocols
 from rackvalve.manager import timing
 from rackvalve.platform import connections
 from rackvalve.platform import workers as clients
@@ -44,7 +44,7 @@
 
     def __init__(
         self,
-        owner: ports.Overseer,
+        owner: protocols.ContactOwner,
         worker: workers.WorkerState,
         client: clients.Worker,
     ) -> None:
--- a/src/rackvalve/manager/election.py
+++ b/src/rackvalve/manager/election.py
@@ -22,7 +22,7 @@
 from rackvalve import clocks
 from rackvalve import logs
 from rackvalve.manager import candidacy
-from rackvalve.manager import ports
+from rackvalve.manager import protocols
 from rackvalve.manager import timing
 from rackvalve.manager import watcher as watchers
 from rackvalve.platform import store as stores
@@ -73,7 +73,7 @@
         name: str,
         *,
         cores: float,
-        make_owner: Callable[[int], ports.Tenure | None],
+        make_owner: Callable[[int], protocols.ElectedOwner | None],
         may_own: Callable[[], bool],
         telemetry: telemetries.Telemetry,
         on_contact: Callable[[], None],
@@ -96,7 +96,7 @@
         self._request: stores.Item | None = None
         self._known = False
         self._changed = event.Event()
-        self._owner: ports.Tenure | None = None
+        self._owner: protocols.ElectedOwner | None = None
         self._lease = 0
         # Its length, in seconds, and what it should be as late as we are.
         self._lease_length = timing.OWNER_LEASE_S
@@ -275,7 +275,7 @@
             outcome=type(outcome).__name__,
         )
 
-    def _is_asked(self, owner: ports.Tenure) -> bool:
+    def _is_asked(self, owner: protocols.ElectedOwner) -> bool:
         """Return whether a larger VM has asked this owner to hand over."""
         request = self._request
         return request is not None and request.revision > owner.fence
@@ -341,7 +341,7 @@
             self._owner = None
             self._changed.set()
 
-    def _find_successor(self, owner: ports.Tenure) -> str:
+    def _find_successor(self, owner: protocols.ElectedOwner) -> str:
         """Look whether another owner is known already.
 
         :return: What shows it, empty if none is known.
@@ -352,7 +352,7 @@
             return _TAKEN_BY_ANOTHER
         return ""
 
-    def _renew(self, owner: ports.Tenure) -> str:
+    def _renew(self, owner: protocols.ElectedOwner) -> str:
         """Renew the lease, or open another one in its place.
 
         :return: Why the ownership is lost, empty if it is not.
@@ -384,7 +384,7 @@
         wanted = self._lateness.choose_lease(now)
         return abs(wanted - self._lease_length) > LEASE_STEP_S
 
-    def _check_key(self, owner: ports.Tenure) -> str:
+    def _check_key(self, owner: protocols.ElectedOwner) -> str:
         """Look whether the key is really gone though the lease runs."""
         found = self._store.read(KEY)
         if isinstance(found, stores.Item):
@@ -393,7 +393,7 @@
             return self._hold_again(owner, known=0)
         return ""
 
-    def _hold_again(self, owner: ports.Tenure, *, known: int) -> str:
+    def _hold_again(self, owner: protocols.ElectedOwner, *, known: int) -> str:
         """Write the key anew, with another lease, under the term that stands.
 
         :param owner: The owner.
@@ -431,7 +431,7 @@
         return ""
 
     def _write_key(
-        self, owner: ports.Tenure, lease: _Lease, known: int
+        self, owner: protocols.ElectedOwner, lease: _Lease, known: int
     ) -> object:
         """Write the key with a lease, if it and the term are as known."""
         return self._store.commit(
@@ -447,7 +447,7 @@
         )
 
 
-def _stands(conflict: stores.Conflict, owner: ports.Tenure) -> bool:
+def _stands(conflict: stores.Conflict, owner: protocols.ElectedOwner) -> bool:
     """Return whether an owner's term stands, by what a commit was told."""
     term = conflict.items.get(TERM_KEY)
     return term is not None and term.revision == owner.fence
--- a/src/rackvalve/manager/ports.py
+++ b/src/rackvalve/manager/protocols.py
@@ -9,7 +9,7 @@
 from rackvalve.scheduling import workers
 
 
-class Tenure(Protocol):
+class ElectedOwner(Protocol):
     """One owner as the election sees it.
 
     :ivar fence: Its fencing token.
@@ -35,7 +35,7 @@
         """
 
 
-class Overseer(Protocol):
+class ContactOwner(Protocol):
     """One owner as its contacts with workers see it.
 
     :ivar fences: The fencing tokens that it shows to workers.
--- a/src/rackvalve/manager/roster.py
+++ b/src/rackvalve/manager/roster.py
@@ -12,7 +12,7 @@
 from rackvalve.jobs import progress
 from rackvalve import logs
 from rackvalve.manager import contact as contacts
-from rackvalve.manager import ports
+from rackvalve.manager import protocols
 from rackvalve.manager import timing
 from rackvalve.platform import documents
 from rackvalve.platform import store as stores
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        owner: ports.Overseer,
+        owner: protocols.ContactOwner,
         book: books.Book,
         *,
         on_change: Callable[[], None],
