--- a/src/rackvalve/manager/commit.py
+++ b/src/rackvalve/manager/commit.py
@@ -13,7 +13,7 @@
 from rackvalve.platform import store as stores
 
 
-class Verdict(enum.Enum):
+class ConflictOutcome(enum.Enum):
     """What a conflict comes to."""
 
     # An earlier try of the same commit took effect.
@@ -122,7 +122,7 @@
             else:
                 self._revisions.set(key, revision)
 
-    def judge(self, conflict: stores.Conflict) -> Verdict:
+    def resolve_conflict(self, conflict: stores.Conflict) -> ConflictOutcome:
         """Find out why a condition did not hold.
 
         Only this process writes these keys while it is the owner.  So a
@@ -133,22 +133,22 @@
         """
         owner = conflict.items.get(self._ownership.key)
         if owner is None or owner.revision != self._ownership.revision:
-            return Verdict.DEPOSED
+            return ConflictOutcome.DEPOSED
         if self._is_in_store(conflict):
             for key, payload in self.payloads.items():
                 if payload is None:
                     self._revisions.forget(key)
                 else:
                     self._revisions.set(key, conflict.items[key].revision)
-            return Verdict.WRITTEN
+            return ConflictOutcome.WRITTEN
         for condition in self.make_conditions()[1:]:
             item = conflict.items.get(condition.key)
             revision = item.revision if item is not None else 0
             known = self._revisions.find(condition.key)
             if known is not None and known != revision:
-                return Verdict.DEPOSED
+                return ConflictOutcome.DEPOSED
             self._revisions.set(condition.key, revision)
-        return Verdict.AGAIN
+        return ConflictOutcome.AGAIN
 
     def _is_in_store(self, conflict: stores.Conflict) -> bool:
         """Return whether the store holds what this commit would write."""
--- a/src/rackvalve/manager/writer.py
+++ b/src/rackvalve/manager/writer.py
@@ -158,11 +158,11 @@
                 commit.take_committed(outcome.revision)
                 return True
             if isinstance(outcome, stores.Conflict):
-                verdict = commit.judge(outcome)
-                if verdict is commits.Verdict.DEPOSED:
+                resolved = commit.resolve_conflict(outcome)
+                if resolved is commits.ConflictOutcome.DEPOSED:
                     self._on_deposed("a record has another owner's revision")
                     return False
-                if verdict is commits.Verdict.WRITTEN:
+                if resolved is commits.ConflictOutcome.WRITTEN:
                     return True
                 continue
             self._note_failure(commit, outcome)
