--- a/features/commit_model.py
+++ b/features/commit_model.py
@@ -180,7 +180,7 @@
         revision, items = sender.answer
         resolved = commits.ConflictOutcome.WRITTEN
         if revision:
-            commit.take_committed(revision)
+            commit.record_committed(revision)
         else:
             found = {
                 name: stores.Item(
--- a/src/rackvalve/manager/commit.py
+++ b/src/rackvalve/manager/commit.py
@@ -110,7 +110,7 @@
             )
         return conditions
 
-    def take_committed(self, revision: int) -> None:
+    def record_committed(self, revision: int) -> None:
         """Note that it took effect.
 
         :param revision: The store's revision of its writes.
--- a/src/rackvalve/manager/writer.py
+++ b/src/rackvalve/manager/writer.py
@@ -155,7 +155,7 @@
             outcome = self._try(commit, tries)
             tries += 1
             if isinstance(outcome, stores.Committed):
-                commit.take_committed(outcome.revision)
+                commit.record_committed(outcome.revision)
                 return True
             if isinstance(outcome, stores.Conflict):
                 resolved = commit.resolve_conflict(outcome)
