--- a/src/rackvalve/manager/commit.py
+++ b/src/rackvalve/manager/commit.py
@@ -27,12 +27,12 @@
 class Revisions:
     """The revisions of the records that an owner has read or written."""
 
-    __slots__ = ("_known", "newest")
+    __slots__ = ("_known", "last_committed")
 
     def __init__(self) -> None:
         self._known: dict[str, int] = {}
         # The greatest of them that a commit of this owner had.
-        self.newest = 0
+        self.last_committed = 0
 
     def set(self, key: str, revision: int) -> None:
         """Take what a key's revision is.
@@ -115,7 +115,9 @@
 
         :param revision: The store's revision of its writes.
         """
-        self._revisions.newest = max(self._revisions.newest, revision)
+        self._revisions.last_committed = max(
+            self._revisions.last_committed, revision
+        )
         for key, payload in self.payloads.items():
             if payload is None:
                 self._revisions.forget(key)
--- a/src/rackvalve/manager/writer.py
+++ b/src/rackvalve/manager/writer.py
@@ -85,7 +85,7 @@
     @property
     def committed(self) -> int:
         """The store's revision of the newest commit; 0 before the first."""
-        return self._revisions.newest
+        return self._revisions.last_committed
 
     def wait(self, timeout: float) -> None:
         """Wait for the end of the next commit.
