--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -61,7 +61,7 @@
         self.uncertain: set[tuple[str, str, int]] = set()
         self.tokens = fences.Fences(fence)
         # Revision of its own newest commit.
-        self.committed = fence
+        self.committed_revision = fence
         lease = owners.INHERITED_LEASE_S if rules.proof else 0.0
         made = cores.make_cores(world.now, inherited_lease=lease)
         self.book, self.handler = made.book, made.handler
@@ -95,7 +95,7 @@
         """Show a life a greater token if the worker has lived before."""
         others = self.book.names.find(worker.life.worker)
         if self.rules.raised and len(others) > 1:
-            self.tokens.raise_for(worker, self.committed)
+            self.tokens.raise_for(worker, self.committed_revision)
 
     def note_refused(self, worker: workers.WorkerState) -> None:
         """Note that a life has seen a greater token."""
@@ -130,7 +130,7 @@
             return
         self.heard = self.world.now
         self.store.revision += 1
-        self.committed = self.store.revision
+        self.committed_revision = self.store.revision
         for identity in list(self.book.changed):
             state = self.book.jobs[identity]
             planned = state.list_planned()
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -115,7 +115,7 @@
     """An owner that handles what a contact tells it."""
 
     durable = 0
-    committed = 0
+    committed_revision = 0
 
     def __init__(self, bench):
         self.bench = bench
--- a/features/steps/late_start_steps.py
+++ b/features/steps/late_start_steps.py
@@ -29,7 +29,7 @@
     """An owner that may or may not extend leases."""
 
     durable = 0
-    committed = 0
+    committed_revision = 0
 
     def __init__(self, may_extend):
         self.allowed = may_extend
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -160,9 +160,9 @@
         return self._writer.durable
 
     @property
-    def committed(self) -> int:
+    def committed_revision(self) -> int:
         """The store's revision of the newest commit; 0 before the first."""
-        return self._writer.committed
+        return self._writer.committed_revision
 
     def wait_for_commit(self, timeout: float) -> None:
         """Wait until something more may be in the store.
--- a/src/rackvalve/manager/protocols.py
+++ b/src/rackvalve/manager/protocols.py
@@ -44,7 +44,7 @@
     fences: fencing.Fences
 
     @property
-    def committed(self) -> int:
+    def committed_revision(self) -> int:
         """The store's revision of the newest commit; 0 before the first."""
 
     @property
--- a/src/rackvalve/manager/roster.py
+++ b/src/rackvalve/manager/roster.py
@@ -225,7 +225,9 @@
         )
         if len(self._book.names.find(worker.life.worker)) > 1:
             # Calls to the lives before do nothing at this one.
-            self._owner.fences.raise_for(worker, self._owner.committed)
+            self._owner.fences.raise_for(
+                worker, self._owner.committed_revision
+            )
         contact = contacts.Contact(self._owner, worker, client)
         self._contacts[worker.identity] = contact
         contact.start()
--- a/src/rackvalve/manager/writer.py
+++ b/src/rackvalve/manager/writer.py
@@ -83,7 +83,7 @@
         return self._backlog.durable
 
     @property
-    def committed(self) -> int:
+    def committed_revision(self) -> int:
         """The store's revision of the newest commit; 0 before the first."""
         return self._revisions.last_committed
 
