--- a/features/steps/caretaker_steps.py
+++ b/features/steps/caretaker_steps.py
@@ -36,7 +36,7 @@
     def durable(self):
         return self.number
 
-    def mark(self, key, make, urgent=True):
+    def enqueue(self, key, make, urgent=True):
         self.number += 1
         self.records[key] = make
         if self.jumps:
@@ -193,7 +193,7 @@
         context.clocks.steady += 12.0
         context.caretaker._writer = mock.Mock()
         context.caretaker._record_waves()
-        rows = context.caretaker._writer.mark.call_args_list
+        rows = context.caretaker._writer.enqueue.call_args_list
         context.payload = rows[0].args[1]().payload
 
 
@@ -249,7 +249,7 @@
     ):
         with contextlib.suppress(gevent.GreenletExit):
             care._move(sizing.MoveVm(vm=vm, pool=vms.OTHER))
-        made = [call.args for call in writer.mark.call_args_list]
+        made = [call.args for call in writer.enqueue.call_args_list]
         return tuple(
             stores.Item(key=key, payload=make().payload, revision=1, created=1)
             for key, make in made
--- a/features/steps/commit_steps.py
+++ b/features/steps/commit_steps.py
@@ -89,7 +89,7 @@
     backlog = context.backlog
     now = 100.0
     for number in range(count):
-        backlog.mark(f"r{number}", lambda: None, now, urgent=True)
+        backlog.enqueue(f"r{number}", lambda: None, now, urgent=True)
         if backlog.find_wait(now) == 0:
             backlog.take(now)
             backlog.is_failing = True
@@ -104,20 +104,20 @@
 @behave.given("a record that is being written")
 def begin_record(context):
     context.backlog = backlogs.Backlog()
-    context.backlog.mark("a", lambda: None, 1.0, urgent=True)
+    context.backlog.enqueue("a", lambda: None, 1.0, urgent=True)
     context.batch = context.backlog.take(1.0)
 
 
 @behave.when("the same record is marked again beside another one")
 def mark_again(context):
-    context.backlog.mark("a", lambda: None, 1.0, urgent=True)
-    context.backlog.mark("b", lambda: None, 1.0, urgent=True)
+    context.backlog.enqueue("a", lambda: None, 1.0, urgent=True)
+    context.backlog.enqueue("b", lambda: None, 1.0, urgent=True)
     context.next = context.backlog.take(1.1)
 
 
 @behave.then("the next commit has only the other one")
 def check_other(context):
-    assert list(context.next.marks) == ["b"], context.next
+    assert list(context.next.writes) == ["b"], context.next
 
 
 @behave.then("the record's newer form is sent once the first is in the store")
@@ -126,7 +126,7 @@
     assert backlog.find_wait(1.2) is None
     backlog.settle(context.batch, 1.2)
     assert backlog.durable == 1
-    assert list(backlog.take(1.2).marks) == ["a"]
+    assert list(backlog.take(1.2).writes) == ["a"]
 
 
 class ResettingStore:
@@ -218,7 +218,7 @@
 
 
 def mark_record(context, key):
-    context.writer.mark(
+    context.writer.enqueue(
         key,
         lambda: backlogs.Record(
             payload=key.encode(),
--- a/features/steps/count_age_steps.py
+++ b/features/steps/count_age_steps.py
@@ -108,9 +108,9 @@
 
 def publish(context, number, age, view_age=0.0):
     """Have an owner publish that a number of jobs has not begun."""
-    marked = {}
+    enqueued = {}
     writer = mock.Mock()
-    writer.mark = lambda key, make, **fields: marked.update({key: make})
+    writer.enqueue = lambda key, make, **fields: enqueued.update({key: make})
     book = books.Book(context.view.configuration, inherited_lease=0.0, now=0.0)
     for one in range(number):
         book.add_job(
@@ -124,7 +124,7 @@
         on_recorded=lambda: None,
     )
     publish_by(recorder, age, view_age)
-    key, make = marked.popitem()
+    key, make = enqueued.popitem()
     context.store.put(key, make().payload)
 
 
--- a/features/steps/removal_steps.py
+++ b/features/steps/removal_steps.py
@@ -22,17 +22,17 @@
 
 
 class FakeWriter:
-    """Keeps what is marked until the test lets it be written."""
+    """Keeps what is enqueued until the test lets it be written."""
 
     def __init__(self, items):
         self.items = items
-        self.marked = {}
+        self.enqueued = {}
 
-    def mark(self, key, make, *, urgent=True):
-        self.marked[key] = make
+    def enqueue(self, key, make, *, urgent=True):
+        self.enqueued[key] = make
 
     def write(self, key):
-        record = self.marked.pop(key)()
+        record = self.enqueued.pop(key)()
         assert record.payload is None, key
         self.items.pop(key, None)
         if record.written is not None:
@@ -96,13 +96,13 @@
 
 
 def remove_all(context, look):
-    """Write all that is marked, a commit a key, progress as early as may be.
+    """Write all that is enqueued, a commit a key, progress as early as may be.
 
     :param look: Called before the first commit and after each.
     """
     look()
-    while context.writer.marked:
-        keys = sorted(context.writer.marked)
+    while context.writer.enqueued:
+        keys = sorted(context.writer.enqueued)
         context.writer.write(keys[-1])
         look()
 
--- a/src/rackvalve/manager/backlog.py
+++ b/src/rackvalve/manager/backlog.py
@@ -32,10 +32,10 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class Mark:
+class PendingWrite:
     """A record that is to be written.
 
-    :param number: Number of the first mark since it was last sent.
+    :param number: Number of the first write since it was last sent.
     :param make: Makes the record at the time of sending.
     """
 
@@ -48,15 +48,15 @@
     """What one commit writes.
 
     :param number: Number of the commit.
-    :param marks: The marks by key.
+    :param writes: The writes by key.
     """
 
     number: int
-    marks: dict[str, Mark]
+    writes: dict[str, PendingWrite]
 
 
 class Backlog:
-    """The marks of one owner that are not in the store yet."""
+    """The writes of one owner that are not in the store yet."""
 
     __slots__ = (
         "_urgent",
@@ -75,28 +75,28 @@
 
     def __init__(self) -> None:
         # Marks that may be sent: something waits for those, nothing for these.
-        self._urgent: dict[str, Mark] = {}
-        self._other: dict[str, Mark] = {}
+        self._urgent: dict[str, PendingWrite] = {}
+        self._other: dict[str, PendingWrite] = {}
         # Marks whose key is in a commit under way, and whether urgent.
-        self._held: dict[str, tuple[Mark, bool]] = {}
+        self._held: dict[str, tuple[PendingWrite, bool]] = {}
         self._batches: dict[int, Batch] = {}
         self._busy_keys: set[str] = set()
-        # Numbers of all marks that are not in the store, and the least one.
+        # Numbers of all writes that are not in the store, and the least one.
         self._open: set[int] = set()
         self._oldest = 1
-        # When the first of the marks that nothing waits for was made.
+        # When the first of the writes that nothing waits for was made.
         self._other_since = 0.0
         # When the last commit was sent first.
         self._sent = float("-inf")
         self._commits = 0
-        # Number of the last mark.
+        # Number of the last write.
         self.number = 0
         # Whether the last call had no usable answer.
         self.is_failing = False
 
     @property
     def durable(self) -> int:
-        """Number up to which all marks are in the store."""
+        """Number up to which all writes are in the store."""
         return self._oldest - 1 if self._open else self.number
 
     @property
@@ -104,7 +104,7 @@
         """How many commits are under way."""
         return len(self._batches)
 
-    def mark(
+    def enqueue(
         self,
         key: str,
         make: Callable[[], Record],
@@ -120,16 +120,16 @@
         :param urgent: Whether something waits for it.
         """
         self.number += 1
-        known = self._take_mark(key)
+        known = self._take_write(key)
         if known is None:
             if not self._open:
                 self._oldest = self.number
             self._open.add(self.number)
-            mark = Mark(number=self.number, make=make)
+            write = PendingWrite(number=self.number, make=make)
         else:
-            mark = Mark(number=known[0].number, make=make)
+            write = PendingWrite(number=known[0].number, make=make)
             urgent = urgent or known[1]
-        self._put_mark(key, mark, now, urgent=urgent)
+        self._put_write(key, write, now, urgent=urgent)
 
     def find_wait(self, now: float) -> float | None:
         """Return when the next commit is to be sent.
@@ -157,20 +157,20 @@
         return max(0.0, due - now)
 
     def take(self, now: float) -> Batch:
-        """Take what the next commit writes, urgent marks first.
+        """Take what the next commit writes, urgent writes first.
 
         :param now: Present time, in seconds.
         """
-        marks: dict[str, Mark] = {}
+        writes: dict[str, PendingWrite] = {}
         for source in (self._urgent, self._other):
-            room = RECORDS_PER_COMMIT - len(marks)
+            room = RECORDS_PER_COMMIT - len(writes)
             for key in list(source)[:room]:
-                marks[key] = source.pop(key)
+                writes[key] = source.pop(key)
         self._sent = now
         self._commits += 1
-        batch = Batch(number=self._commits, marks=marks)
+        batch = Batch(number=self._commits, writes=writes)
         self._batches[batch.number] = batch
-        self._busy_keys.update(marks)
+        self._busy_keys.update(writes)
         return batch
 
     def settle(self, batch: Batch, now: float) -> None:
@@ -180,16 +180,16 @@
         :param now: Present time, in seconds.
         """
         del self._batches[batch.number]
-        for key, mark in batch.marks.items():
+        for key, write in batch.writes.items():
             self._busy_keys.discard(key)
-            self._open.discard(mark.number)
+            self._open.discard(write.number)
             if key in self._held:
                 held, urgent = self._held.pop(key)
-                self._put_mark(key, held, now, urgent=urgent)
+                self._put_write(key, held, now, urgent=urgent)
         self._oldest = min(self._open, default=self._oldest)
 
-    def _take_mark(self, key: str) -> tuple[Mark, bool] | None:
-        """Take a mark out that was not sent yet, and whether it is urgent."""
+    def _take_write(self, key: str) -> tuple[PendingWrite, bool] | None:
+        """Take a write out that was not sent yet, and whether it is urgent."""
         if key in self._held:
             return self._held.pop(key)
         if key in self._urgent:
@@ -198,14 +198,14 @@
             return self._other.pop(key), False
         return None
 
-    def _put_mark(
-        self, key: str, mark: Mark, now: float, *, urgent: bool
+    def _put_write(
+        self, key: str, write: PendingWrite, now: float, *, urgent: bool
     ) -> None:
         if key in self._busy_keys:
-            self._held[key] = (mark, urgent)
+            self._held[key] = (write, urgent)
         elif urgent:
-            self._urgent[key] = mark
+            self._urgent[key] = write
         else:
             if not self._other:
                 self._other_since = now
-            self._other[key] = mark
+            self._other[key] = write
--- a/src/rackvalve/manager/caretaker.py
+++ b/src/rackvalve/manager/caretaker.py
@@ -139,7 +139,7 @@
         self._moves = {vm: moves[vm] for vm in moves.keys() & self._held}
         if self._moves != moves:
             # One left in the record would pass for an order of this owner's.
-            self._writer.mark(MOVES_KEY, self._make_moves)
+            self._writer.enqueue(MOVES_KEY, self._make_moves)
         for vm, pool in self._moves.items():
             self._sizing.restore(vm, pool)
         self._uncertain = self._held.keys() - moves.keys()
@@ -216,7 +216,7 @@
         owner cannot know how long ago that was.
         """
         if self._find_recent(now) != self._ordered:
-            self._writer.mark(ORDERS_KEY, self._make_ordered, urgent=False)
+            self._writer.enqueue(ORDERS_KEY, self._make_ordered, urgent=False)
 
     def _find_recent(self, now: float) -> dict[str, float | None]:
         """Return the VMs that the next owner has to leave alone.
@@ -311,7 +311,7 @@
         while clocks.read_steady() - began > timing.CONFIRMATION_S:
             began = clocks.read_steady()
             self._ordered[vm] = None
-            self._writer.mark(ORDERS_KEY, self._make_ordered)
+            self._writer.enqueue(ORDERS_KEY, self._make_ordered)
             write = self._writer.number
             while self._writer.durable < write:
                 gevent.sleep(timing.CARE_INTERVAL_S / 10)
@@ -387,7 +387,7 @@
         """Have a VM maintained, once the store knows of it."""
         self._record_waves()
         if self._moves.pop(order.vm, None):
-            self._writer.mark(MOVES_KEY, self._make_moves)
+            self._writer.enqueue(MOVES_KEY, self._make_moves)
         outcome = self._order(
             order.vm,
             lambda: self._machines.maintain(order.vm, order.wave, self._fence),
@@ -412,7 +412,7 @@
     def _move(self, order: sizings.MoveVm) -> None:
         """Move a VM to another pool."""
         self._moves[order.vm] = order.pool
-        self._writer.mark(MOVES_KEY, self._make_moves)
+        self._writer.enqueue(MOVES_KEY, self._make_moves)
         outcome = self._order(
             order.vm,
             lambda: self._machines.move(order.vm, order.pool, self._fence),
@@ -446,7 +446,7 @@
         )
         if self._recorded.get(number) != record:
             self._recorded[number] = record
-            self._writer.mark(
+            self._writer.enqueue(
                 f"{PREFIX}{number}",
                 functools.partial(_make_record, record, state.began),
             )
@@ -457,7 +457,7 @@
             state.published = status
             logs.write_event("wave.status", wave=number, status=status)
             payload = documents.write_wave_status(state.complete)
-            self._writer.mark(
+            self._writer.enqueue(
                 f"{documents.WAVE_STATUS_PREFIX}{number}",
                 functools.partial(backlogs.Record, payload=payload),
             )
--- a/src/rackvalve/manager/recorder.py
+++ b/src/rackvalve/manager/recorder.py
@@ -59,7 +59,7 @@
         for identity, urgent in list(self._book.changed.items()):
             state = self._book.jobs.get(identity)
             if state is not None:
-                self._writer.mark(
+                self._writer.enqueue(
                     records.write_key(
                         state.queue, identity, records.Part.PROGRESS
                     ),
@@ -92,7 +92,7 @@
         self._waiting_at = now
         self._waiting = waiting
         payload = counts.write(waiting, wall - (now - seen))
-        self._writer.mark(
+        self._writer.enqueue(
             counts.WAITING_KEY, lambda: backlogs.Record(payload=payload)
         )
 
@@ -147,7 +147,7 @@
         written: Callable[[], None] | None = None,
     ) -> None:
         record = backlogs.Record(payload=None, written=written)
-        self._writer.mark(
+        self._writer.enqueue(
             records.write_key(state.queue, state.identity, part),
             lambda: record,
         )
--- a/src/rackvalve/manager/writer.py
+++ b/src/rackvalve/manager/writer.py
@@ -33,7 +33,7 @@
 
 
 class Writer:
-    """Writes what one owner marks.
+    """Writes what one owner enqueues.
 
     :param store: The store.
     :param ownership: The condition that this process is the owner.
@@ -74,12 +74,12 @@
 
     @property
     def number(self) -> int:
-        """Number of the last mark."""
+        """Number of the last write."""
         return self._backlog.number
 
     @property
     def durable(self) -> int:
-        """Number up to which all marks are in the store."""
+        """Number up to which all writes are in the store."""
         return self._backlog.durable
 
     @property
@@ -94,7 +94,7 @@
         """
         self._committed.wait(timeout)
 
-    def mark(
+    def enqueue(
         self,
         key: str,
         make: Callable[[], backlogs.Record],
@@ -108,11 +108,11 @@
         :param urgent: Whether something waits for it; if not, it goes with
             the next that is, or after a short while.
         """
-        self._backlog.mark(key, make, clocks.read_steady(), urgent=urgent)
+        self._backlog.enqueue(key, make, clocks.read_steady(), urgent=urgent)
         self._changed.set()
 
     def run(self) -> None:
-        """Send what is marked, until the greenlet is killed."""
+        """Send what is enqueued, until the greenlet is killed."""
         while True:
             wait = self._backlog.find_wait(clocks.read_steady())
             if wait is None or wait > 0:
@@ -126,7 +126,7 @@
     def _begin(self) -> None:
         """Send the next commit, in a greenlet of its own."""
         batch = self._backlog.take(clocks.read_steady())
-        records = {key: mark.make() for key, mark in batch.marks.items()}
+        records = {key: write.make() for key, write in batch.writes.items()}
         self._spawn(functools.partial(self._write, batch, records))
 
     def _write(
--- a/tools/experiments/commits.py
+++ b/tools/experiments/commits.py
@@ -57,11 +57,11 @@
         while left and left[0] <= now:
             key = f"r{len(marked)}"
             marked[key] = left.pop(0)
-            backlog.mark(key, lambda: None, now, urgent=True)
+            backlog.enqueue(key, lambda: None, now, urgent=True)
         for due, batch in [row for row in under_way if row[0] <= now]:
             under_way.remove((due, batch))
             backlog.settle(batch, now)
-            waits.extend(now - marked[key] for key in batch.marks)
+            waits.extend(now - marked[key] for key in batch.writes)
         while backlog.find_wait(now) == 0:
             under_way.append((now + answer, backlog.take(now)))
             calls += 1
