--- a/features/steps/commit_steps.py
+++ b/features/steps/commit_steps.py
@@ -124,7 +124,7 @@
 def check_newer(context):
     backlog = context.backlog
     assert backlog.find_wait(1.2) is None
-    backlog.settle(context.batch, 1.2)
+    backlog.complete_batch(context.batch, 1.2)
     assert backlog.durable == 1
     assert list(backlog.take(1.2).writes) == ["a"]
 
--- a/src/rackvalve/manager/backlog.py
+++ b/src/rackvalve/manager/backlog.py
@@ -173,7 +173,7 @@
         self._busy_keys.update(writes)
         return batch
 
-    def settle(self, batch: Batch, now: float) -> None:
+    def complete_batch(self, batch: Batch, now: float) -> None:
         """Note that a commit is in the store.
 
         :param batch: What it wrote.
--- a/src/rackvalve/manager/writer.py
+++ b/src/rackvalve/manager/writer.py
@@ -136,7 +136,7 @@
         commit = commits.Commit(self._ownership, payloads, self._revisions)
         if not self._commit(commit):
             return
-        self._backlog.settle(batch, clocks.read_steady())
+        self._backlog.complete_batch(batch, clocks.read_steady())
         self._committed.set()
         self._committed.clear()
         self._changed.set()
--- a/tools/experiments/commits.py
+++ b/tools/experiments/commits.py
@@ -60,7 +60,7 @@
             backlog.enqueue(key, lambda: None, now, urgent=True)
         for due, batch in [row for row in under_way if row[0] <= now]:
             under_way.remove((due, batch))
-            backlog.settle(batch, now)
+            backlog.complete_batch(batch, now)
             waits.extend(now - marked[key] for key in batch.writes)
         while backlog.find_wait(now) == 0:
             under_way.append((now + answer, backlog.take(now)))
