--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -355,7 +355,7 @@
         # Read before the definitions: a job may gain a definition between the
         # two readings, but no progress, which only this owner writes.
         known = self._read_all(records.PROGRESS_PREFIX)
-        self._writer.note_read(known)
+        self._writer.load_revisions(known)
         intake = intakes.JobIntake(
             self._book, known, on_change=self._note_intake
         )
--- a/src/rackvalve/manager/writer.py
+++ b/src/rackvalve/manager/writer.py
@@ -64,7 +64,7 @@
         # Whether the next commit may be due.
         self._changed = event.Event()
 
-    def note_read(self, items: tuple[stores.Item, ...]) -> None:
+    def load_revisions(self, items: tuple[stores.Item, ...]) -> None:
         """Take the records that earlier owners have left.
 
         :param items: All progress records, read under this ownership.
