--- a/features/job_api_bench.py
+++ b/features/job_api_bench.py
@@ -13,7 +13,7 @@
     """Make a job API whose view was confirmed some seconds ago."""
     context.store = store
     context.view = views.View()
-    context.view.take_item(item)
+    context.view.apply_item(item)
     context.view.note_contact()
     context.view.note_confirmed(time.monotonic() - age)
     context.job_api = job_api.JobApi(
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -34,7 +34,7 @@
 
 
 def change(view, written=(), removed=()):
-    view.take_changes(
+    view.apply_changes(
         stores.Changes(
             written=tuple(written),
             removed=tuple((PREFIX + hall, at) for at, hall in removed),
@@ -44,7 +44,7 @@
 
 
 CHANGES = {
-    "a and b are read": lambda v: v.take_range((ask(1, "a"), ask(2, "b"))),
+    "a and b are read": lambda v: v.apply_range((ask(1, "a"), ask(2, "b"))),
     "a is asked": lambda v: change(v, [ask(3, "a")]),
     "a is taken back": lambda v: change(v, [], [(4, "a")]),
     "a is asked and taken back": lambda v: change(
@@ -53,9 +53,9 @@
     "b is taken back and asked": lambda v: change(
         v, [ask(8, "b")], [(7, "b")]
     ),
-    "only c is read": lambda v: v.take_range((ask(9, "c"),)),
-    "nothing is read": lambda v: v.take_range(()),
-    "one without a name is read": lambda v: v.take_range((ask(9, ""),)),
+    "only c is read": lambda v: v.apply_range((ask(9, "c"),)),
+    "nothing is read": lambda v: v.apply_range(()),
+    "one without a name is read": lambda v: v.apply_range((ask(9, ""),)),
 }
 
 
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -82,7 +82,7 @@
                 intake = intakes.JobIntake(
                     bench.book, (), on_change=lambda: None
                 )
-                intake.take_range((item,))
+                intake.apply_range((item,))
                 if bench.book.jobs:
                     failed.append((row["payload"], "it is taken"))
                     continue
@@ -253,7 +253,7 @@
     }
     view = views.View()
     for key, document in documents.items():
-        view.take_item(make_item(key, odd_answers.vary(rng, document)))
+        view.apply_item(make_item(key, odd_answers.vary(rng, document)))
     care = upkeep.Upkeep(bench.book)
     for wave in view.waves.values():
         care.add_wave(wave, bench.now)
--- a/features/steps/removal_steps.py
+++ b/features/steps/removal_steps.py
@@ -52,7 +52,7 @@
     book = cores.make_cores(clocks.read_steady(), inherited_lease=0.0).book
     known = read(items, records.PROGRESS_PREFIX)
     jobs = intake.JobIntake(book, known, on_change=mock.Mock())
-    jobs.take_range(read(items, records.PREFIX))
+    jobs.apply_range(read(items, records.PREFIX))
     return book, jobs
 
 
@@ -121,7 +121,7 @@
 )
 def remove_and_read(context):
     def look():
-        context.jobs.take_range(read(context.items, records.PREFIX))
+        context.jobs.apply_range(read(context.items, records.PREFIX))
 
     remove_all(context, look)
 
@@ -130,7 +130,7 @@
 def remove_while_reading(context):
     found = read(context.items, records.PREFIX)
     remove_all(context, lambda: None)
-    context.jobs.take_range(found)
+    context.jobs.apply_range(found)
 
 
 @behave.then("no owner has found a job to begin")
--- a/src/rackvalve/manager/intake.py
+++ b/src/rackvalve/manager/intake.py
@@ -36,7 +36,7 @@
         self._progress = progress
         self._on_change = on_change
 
-    def take_range(self, items: tuple[stores.Item, ...]) -> None:
+    def apply_range(self, items: tuple[stores.Item, ...]) -> None:
         """Take all records, at first and after lost history.
 
         What is known already stays as it is.
@@ -48,7 +48,7 @@
         self._take_all(by_job)
         self._on_change()
 
-    def take_changes(self, changes: stores.Changes) -> None:
+    def apply_changes(self, changes: stores.Changes) -> None:
         """Take what was just handed in or cancelled.
 
         :param changes: The changes.
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -360,7 +360,7 @@
             self._book, known, on_change=self._note_intake
         )
         self._jobs = self._watch(
-            records.PREFIX, intake.take_range, intake.take_changes
+            records.PREFIX, intake.apply_range, intake.apply_changes
         )
         watches = [
             self._jobs,
--- a/src/rackvalve/manager/program.py
+++ b/src/rackvalve/manager/program.py
@@ -105,8 +105,8 @@
         operator = watchers.Watcher(
             self._store,
             documents.OPERATOR_PREFIX,
-            on_range=self._view.take_range,
-            on_changes=self._view.take_changes,
+            on_range=self._view.apply_range,
+            on_changes=self._view.apply_changes,
             on_contact=self._note_operator,
         )
         pause = timing.FAILURE_PAUSE_S
--- a/src/rackvalve/manager/revalidation.py
+++ b/src/rackvalve/manager/revalidation.py
@@ -79,7 +79,7 @@
             ended.set()
         if isinstance(outcome, stores.Conflict):
             for item in outcome.items.values():
-                self._view.take_item(item)
+                self._view.apply_item(item)
         elif not isinstance(outcome, stores.Committed):
             return False
         self._view.note_contact()
--- a/src/rackvalve/manager/view.py
+++ b/src/rackvalve/manager/view.py
@@ -53,23 +53,23 @@
         """
         return now - self._heard
 
-    def take_range(self, items: tuple[stores.Item, ...]) -> None:
+    def apply_range(self, items: tuple[stores.Item, ...]) -> None:
         """Take all that the operator has written.
 
         :param items: All items under the operator's prefix.
         """
         for item in items:
-            self.take_item(item)
+            self.apply_item(item)
         found = [documents.evacuated_hall_of(item.key) for item in items]
         self._set_evacuated({hall for hall in found if hall is not None})
 
-    def take_changes(self, changes: stores.Changes) -> None:
+    def apply_changes(self, changes: stores.Changes) -> None:
         """Take what the operator has just written.
 
         :param changes: The changes.
         """
         for item in changes.written:
-            self.take_item(item)
+            self.apply_item(item)
         halls = set(self.evacuated)
         for key, is_asked in _list_changes(changes):
             hall = documents.evacuated_hall_of(key)
@@ -87,7 +87,7 @@
         self.evacuated = found
         logs.write_event("halls.evacuated", halls=sorted(found))
 
-    def take_item(self, item: stores.Item) -> None:
+    def apply_item(self, item: stores.Item) -> None:
         """Take one document.
 
         :param item: The document.
