--- a/features/steps/key_steps.py
+++ b/features/steps/key_steps.py
@@ -215,7 +215,7 @@
 def drop_workspaces(context):
     context.statuses.clear()
     context.store.configuration = make_item(2, None)
-    context.view.confirmed = float("-inf")
+    context.view.confirmed_at = float("-inf")
     call(context, None)
 
 
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -466,7 +466,7 @@
             self._reporter.log_release(release)
         self._reporter.log_held(now)
         self._roster.forget_gone(now)
-        self._recorder.publish_waiting(now, wall, self._jobs.confirmed)
+        self._recorder.publish_waiting(now, wall, self._jobs.confirmed_at)
         self._recorder.collect(now, wall)
 
     def _send_orders(self) -> None:
--- a/src/rackvalve/manager/revalidation.py
+++ b/src/rackvalve/manager/revalidation.py
@@ -41,7 +41,7 @@
         :param until: When to give up, in seconds.
         :return: Whether it is confirmed; if not, the store does not answer.
         """
-        while self._view.confirmed < since:
+        while self._view.confirmed_at < since:
             now = clocks.read_steady()
             left = until - now
             if left <= 0 or self._view.silence(now) > timing.READY_SILENCE_S:
--- a/src/rackvalve/manager/view.py
+++ b/src/rackvalve/manager/view.py
@@ -19,7 +19,7 @@
         "revision",
         "waves",
         "evacuated",
-        "confirmed",
+        "confirmed_at",
         "_heard",
     )
 
@@ -32,7 +32,7 @@
         self.evacuated: frozenset[str] = frozenset()
         # The last time, in seconds, at which this view is known to have been
         # the newest.
-        self.confirmed = float("-inf")
+        self.confirmed_at = float("-inf")
         self._heard = float("-inf")
 
     def note_confirmed(self, now: float) -> None:
@@ -40,7 +40,7 @@
 
         :param now: The time, in seconds.
         """
-        self.confirmed = max(self.confirmed, now)
+        self.confirmed_at = max(self.confirmed_at, now)
 
     def note_contact(self) -> None:
         """Note that the store has just answered."""
--- a/src/rackvalve/manager/watcher.py
+++ b/src/rackvalve/manager/watcher.py
@@ -50,7 +50,7 @@
         self._pace = pace
         self._slack = pace.slack
         # When all that the store held is known to have been told, in seconds.
-        self.confirmed = float("-inf")
+        self.confirmed_at = float("-inf")
         self._failing = False
         # Whether a watch was waited for in vain.
         self._silent = False
@@ -82,7 +82,7 @@
         self._note_success()
         self._revision = max(self._revision, found.revision)
         self._on_range(found.items)
-        self.confirmed = began
+        self.confirmed_at = began
 
     def _wait(self) -> None:
         # A connection that is cut silently shows only when the wait is over.
@@ -111,7 +111,7 @@
         self._revision = max(self._revision, changes.revision)
         if changes.written or changes.removed:
             self._on_changes(changes)
-        self.confirmed = began
+        self.confirmed_at = began
 
     def _note_failure(self, call: str, reason: str) -> None:
         if not self._failing:
