--- a/src/rackvalve/manager/counts.py
+++ b/src/rackvalve/manager/counts.py
@@ -56,7 +56,7 @@
     at: float
 
 
-def write(waiting: dict[str, int], counted: float) -> bytes:
+def encode(waiting: dict[str, int], counted: float) -> bytes:
     """Encode what an owner publishes.
 
     :param waiting: Jobs that have not begun, by queue.
--- a/src/rackvalve/manager/recorder.py
+++ b/src/rackvalve/manager/recorder.py
@@ -91,7 +91,7 @@
             )
         self._waiting_at = now
         self._waiting = waiting
-        payload = counts.write(waiting, wall - (now - seen))
+        payload = counts.encode(waiting, wall - (now - seen))
         self._writer.enqueue(
             counts.WAITING_KEY, lambda: backlogs.Record(payload=payload)
         )
