--- a/features/job_api_bench.py
+++ b/features/job_api_bench.py
@@ -20,5 +20,5 @@
         store,
         context.view,
         telemetry.Telemetry(),
-        is_leaving=lambda: False,
+        is_stopping=lambda: False,
     )
--- a/src/rackvalve/manager/job_api.py
+++ b/src/rackvalve/manager/job_api.py
@@ -120,7 +120,7 @@
     :param store: The store.
     :param view: The operator's orders.
     :param telemetry: Counts the answers.
-    :param is_leaving: Whether this process is to end.
+    :param is_stopping: Whether this process is to end.
     """
 
     def __init__(
@@ -129,28 +129,28 @@
         view: views.View,
         telemetry: telemetries.Telemetry,
         *,
-        is_leaving: Callable[[], bool],
+        is_stopping: Callable[[], bool],
     ) -> None:
         self._store = store
         self._view = view
         self._revalidator = revalidation.Revalidator(store, view)
         self._counter = counts.Counter(store)
         self._telemetry = telemetry
-        self._is_leaving = is_leaving
-        self.active = 0
+        self._is_stopping = is_stopping
+        self.active_requests = 0
 
     def __call__(
         self, environ: dict[str, Any], start_response: StartResponse
     ) -> list[bytes]:
         """Answer one request (WSGI)."""
-        self.active += 1
+        self.active_requests += 1
         began = clocks.read_steady()
         try:
             reply = self._answer(environ, began)
         except errors.DocumentInvalidError as error:
             reply = _refuse(f"a record cannot be read: {error.reason}")
         finally:
-            self.active -= 1
+            self.active_requests -= 1
         self._note_answer(environ, reply, began)
         headers = self._make_headers(reply)
         start_response(f"{reply.status.value} {reply.status.phrase}", headers)
@@ -185,7 +185,7 @@
             headers.append(("Retry-After", str(self._choose_retry())))
         if reply.status is http.HTTPStatus.UNAUTHORIZED:
             headers.append(("WWW-Authenticate", _CHALLENGE))
-        if self._is_leaving():
+        if self._is_stopping():
             headers.append(("Connection", "close"))
         return headers
 
@@ -299,7 +299,7 @@
             job = callers.read_job(body)
         except errors.DocumentInvalidError as error:
             return _reject(error.reason)
-        if self._is_leaving():
+        if self._is_stopping():
             return _refuse("this process is to end")
         silence = self._view.silence(clocks.read_steady())
         if silence > timing.READY_SILENCE_S:
--- a/src/rackvalve/manager/program.py
+++ b/src/rackvalve/manager/program.py
@@ -49,7 +49,7 @@
     def __init__(self, path: str, settings: reader.Settings) -> None:
         self._path = path
         self._settings = settings
-        self._leaving = False
+        self._stopping = False
         self._ended = event.Event()
         self._job_api_listener: servers.Server | None = None
         vm = settings.get("instance", "vm", str)
@@ -75,7 +75,7 @@
             self._store,
             self._view,
             self._telemetry,
-            is_leaving=lambda: self._leaving,
+            is_stopping=lambda: self._stopping,
         )
         self._election = election.Election(
             self._store,
@@ -93,8 +93,8 @@
 
         :return: Exit code.
         """
-        gevent.signal_handler(signal.SIGTERM, self._leave)
-        gevent.signal_handler(signal.SIGINT, self._leave)
+        gevent.signal_handler(signal.SIGTERM, self._begin_shutdown)
+        gevent.signal_handler(signal.SIGINT, self._begin_shutdown)
         gevent.signal_handler(signal.SIGHUP, self._reload)
         self._job_api_listener = self._listen("front_listen", self._job_api)
         listeners = [
@@ -117,7 +117,9 @@
         self._ended.wait()
         for listener in listeners:
             listener.stop(timeout=0)
-        logs.write_event("program.stopped", unanswered=self._job_api.active)
+        logs.write_event(
+            "program.stopped", unanswered=self._job_api.active_requests
+        )
         return EXIT_OK
 
     def _listen(self, key: str, application: object) -> servers.Server:
@@ -169,7 +171,7 @@
     ) -> list[bytes]:
         silence = self._view.silence(clocks.read_steady())
         ready = (
-            not self._leaving
+            not self._stopping
             and self._view.configuration is not None
             and silence <= timing.READY_SILENCE_S
         )
@@ -177,14 +179,16 @@
         start_response(status, [("Content-Type", "application/json")])
         return [b"{}"]
 
-    def _leave(self) -> None:
-        if self._leaving:
+    def _begin_shutdown(self) -> None:
+        if self._stopping:
             return
-        self._leaving = True
-        logs.write_event("program.stopping", requests=self._job_api.active)
-        gevent.spawn(self._finish)
+        self._stopping = True
+        logs.write_event(
+            "program.stopping", requests=self._job_api.active_requests
+        )
+        gevent.spawn(self._shut_down)
 
-    def _finish(self) -> None:
+    def _shut_down(self) -> None:
         self._election.resign()
         grace = self._settings.get("manager", "grace_time", float)
         began = clocks.read_steady()
@@ -203,7 +207,7 @@
         quiet_since = clocks.read_steady()
         while clocks.read_steady() < until:
             now = clocks.read_steady()
-            if self._job_api.active:
+            if self._job_api.active_requests:
                 quiet_since = now
             elif now - quiet_since >= timing.LAST_CALLS_S:
                 return
