--- a/src/rackvalve/manager/contact.py
+++ b/src/rackvalve/manager/contact.py
@@ -44,7 +44,7 @@
 
     def __init__(
         self,
-        owner: protocols.ContactOwner,
+        owner: protocols.SessionOwner,
         worker: workers.WorkerState,
         client: clients.Worker,
     ) -> None:
--- a/src/rackvalve/manager/protocols.py
+++ b/src/rackvalve/manager/protocols.py
@@ -35,7 +35,7 @@
         """
 
 
-class ContactOwner(Protocol):
+class SessionOwner(Protocol):
     """One owner as its contacts with workers see it.
 
     :ivar fences: The fencing tokens that it shows to workers.
--- a/src/rackvalve/manager/roster.py
+++ b/src/rackvalve/manager/roster.py
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        owner: protocols.ContactOwner,
+        owner: protocols.SessionOwner,
         book: books.Book,
         *,
         on_change: Callable[[], None],
