--- a/features/steps/removal_steps.py
+++ b/features/steps/removal_steps.py
@@ -22,17 +22,17 @@
 
 
 class FakeWriter:
-    """Keeps what is marked until the test lets it be written."""
+    """Keeps what is enqueued until the test lets it be written."""
 
     def __init__(self, items):
         self.items = items
-        self.marked = {}
+        self.enqueued = {}
 
-    def mark(self, key, make, *, urgent=True):
-        self.marked[key] = make
+    def enqueue(self, key, make, *, urgent=True):
+        self.enqueued[key] = make
 
     def write(self, key):
-        record = self.marked.pop(key)()
+        record = self.enqueued.pop(key)()
         assert record.payload is None, key
         self.items.pop(key, None)
         if record.written is not None:
@@ -52,7 +52,7 @@
     book = cores.make_cores(clocks.read_steady(), inherited_lease=0.0).book
     known = read(items, records.PROGRESS_PREFIX)
     jobs = intake.JobIntake(book, known, on_change=mock.Mock())
-    jobs.take_range(read(items, records.PREFIX))
+    jobs.apply_range(read(items, records.PREFIX))
     return book, jobs
 
 
@@ -96,13 +96,13 @@
 
 
 def remove_all(context, look):
-    """Write all that is marked, a commit a key, progress as early as may be.
+    """Write all that is enqueued, a commit a key, progress as early as may be.
 
     :param look: Called before the first commit and after each.
     """
     look()
-    while context.writer.marked:
-        keys = sorted(context.writer.marked)
+    while context.writer.enqueued:
+        keys = sorted(context.writer.enqueued)
         context.writer.write(keys[-1])
         look()
 
@@ -121,7 +121,7 @@
 )
 def remove_and_read(context):
     def look():
-        context.jobs.take_range(read(context.items, records.PREFIX))
+        context.jobs.apply_range(read(context.items, records.PREFIX))
 
     remove_all(context, look)
 
@@ -130,7 +130,7 @@
 def remove_while_reading(context):
     found = read(context.items, records.PREFIX)
     remove_all(context, lambda: None)
-    context.jobs.take_range(found)
+    context.jobs.apply_range(found)
 
 
 @behave.then("no owner has found a job to begin")
--- a/src/rackvalve/manager/commit.py
+++ b/src/rackvalve/manager/commit.py
@@ -13,7 +13,7 @@
 from rackvalve.platform import store as stores
 
 
-class Verdict(enum.Enum):
+class ConflictOutcome(enum.Enum):
     """What a conflict comes to."""
 
     # An earlier try of the same commit took effect.
@@ -27,12 +27,12 @@
 class Revisions:
     """The revisions of the records that an owner has read or written."""
 
-    __slots__ = ("_known", "newest")
+    __slots__ = ("_known", "last_committed")
 
     def __init__(self) -> None:
         self._known: dict[str, int] = {}
         # The greatest of them that a commit of this owner had.
-        self.newest = 0
+        self.last_committed = 0
 
     def set(self, key: str, revision: int) -> None:
         """Take what a key's revision is.
@@ -110,19 +110,21 @@
             )
         return conditions
 
-    def take_committed(self, revision: int) -> None:
+    def record_committed(self, revision: int) -> None:
         """Note that it took effect.
 
         :param revision: The store's revision of its writes.
         """
-        self._revisions.newest = max(self._revisions.newest, revision)
+        self._revisions.last_committed = max(
+            self._revisions.last_committed, revision
+        )
         for key, payload in self.payloads.items():
             if payload is None:
                 self._revisions.forget(key)
             else:
                 self._revisions.set(key, revision)
 
-    def judge(self, conflict: stores.Conflict) -> Verdict:
+    def resolve_conflict(self, conflict: stores.Conflict) -> ConflictOutcome:
         """Find out why a condition did not hold.
 
         Only this process writes these keys while it is the owner.  So a
@@ -133,22 +135,22 @@
         """
         owner = conflict.items.get(self._ownership.key)
         if owner is None or owner.revision != self._ownership.revision:
-            return Verdict.DEPOSED
+            return ConflictOutcome.DEPOSED
         if self._is_in_store(conflict):
             for key, payload in self.payloads.items():
                 if payload is None:
                     self._revisions.forget(key)
                 else:
                     self._revisions.set(key, conflict.items[key].revision)
-            return Verdict.WRITTEN
+            return ConflictOutcome.WRITTEN
         for condition in self.make_conditions()[1:]:
             item = conflict.items.get(condition.key)
             revision = item.revision if item is not None else 0
             known = self._revisions.find(condition.key)
             if known is not None and known != revision:
-                return Verdict.DEPOSED
+                return ConflictOutcome.DEPOSED
             self._revisions.set(condition.key, revision)
-        return Verdict.AGAIN
+        return ConflictOutcome.AGAIN
 
     def _is_in_store(self, conflict: stores.Conflict) -> bool:
         """Return whether the store holds what this commit would write."""
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -160,9 +160,9 @@
         return self._writer.durable
 
     @property
-    def committed(self) -> int:
+    def committed_revision(self) -> int:
         """The store's revision of the newest commit; 0 before the first."""
-        return self._writer.committed
+        return self._writer.committed_revision
 
     def wait_for_commit(self, timeout: float) -> None:
         """Wait until something more may be in the store.
@@ -355,12 +355,12 @@
         # Read before the definitions: a job may gain a definition between the
         # two readings, but no progress, which only this owner writes.
         known = self._read_all(records.PROGRESS_PREFIX)
-        self._writer.note_read(known)
+        self._writer.load_revisions(known)
         intake = intakes.JobIntake(
             self._book, known, on_change=self._note_intake
         )
         self._jobs = self._watch(
-            records.PREFIX, intake.take_range, intake.take_changes
+            records.PREFIX, intake.apply_range, intake.apply_changes
         )
         watches = [
             self._jobs,
@@ -466,7 +466,7 @@
             self._reporter.log_release(release)
         self._reporter.log_held(now)
         self._roster.forget_gone(now)
-        self._recorder.publish_waiting(now, wall, self._jobs.confirmed)
+        self._recorder.publish_waiting(now, wall, self._jobs.confirmed_at)
         self._recorder.collect(now, wall)
 
     def _send_orders(self) -> None:
--- a/src/rackvalve/manager/program.py
+++ b/src/rackvalve/manager/program.py
@@ -14,7 +14,7 @@
 from rackvalve import errors
 from rackvalve import logs
 from rackvalve.manager import election
-from rackvalve.manager import front as fronts
+from rackvalve.manager import job_api
 from rackvalve.manager import owner as owners
 from rackvalve.manager import timing
 from rackvalve.manager import view as views
@@ -49,9 +49,9 @@
     def __init__(self, path: str, settings: reader.Settings) -> None:
         self._path = path
         self._settings = settings
-        self._leaving = False
+        self._stopping = False
         self._ended = event.Event()
-        self._front_listener: servers.Server | None = None
+        self._job_api_listener: servers.Server | None = None
         vm = settings.get("instance", "vm", str)
         self._name = f"{vm} {random.getrandbits(32):08x}"
         address = settings.get("manager", "store", kinds.Address)
@@ -71,11 +71,11 @@
         )
         self._adviser = self._make_adviser()
         self._view = views.View()
-        self._front = fronts.Front(
+        self._job_api = job_api.JobApi(
             self._store,
             self._view,
             self._telemetry,
-            is_leaving=lambda: self._leaving,
+            is_stopping=lambda: self._stopping,
         )
         self._election = election.Election(
             self._store,
@@ -93,20 +93,20 @@
 
         :return: Exit code.
         """
-        gevent.signal_handler(signal.SIGTERM, self._leave)
-        gevent.signal_handler(signal.SIGINT, self._leave)
+        gevent.signal_handler(signal.SIGTERM, self._begin_shutdown)
+        gevent.signal_handler(signal.SIGINT, self._begin_shutdown)
         gevent.signal_handler(signal.SIGHUP, self._reload)
-        self._front_listener = self._listen("front_listen", self._front)
+        self._job_api_listener = self._listen("front_listen", self._job_api)
         listeners = [
-            self._front_listener,
+            self._job_api_listener,
             self._listen("ready_listen", self._tell_ready),
             self._listen("metrics_listen", self._telemetry.make_app()),
         ]
         operator = watchers.Watcher(
             self._store,
             documents.OPERATOR_PREFIX,
-            on_range=self._view.take_range,
-            on_changes=self._view.take_changes,
+            on_range=self._view.apply_range,
+            on_changes=self._view.apply_changes,
             on_contact=self._note_operator,
         )
         pause = timing.FAILURE_PAUSE_S
@@ -117,7 +117,9 @@
         self._ended.wait()
         for listener in listeners:
             listener.stop(timeout=0)
-        logs.write_event("program.stopped", unanswered=self._front.active)
+        logs.write_event(
+            "program.stopped", unanswered=self._job_api.active_requests
+        )
         return EXIT_OK
 
     def _listen(self, key: str, application: object) -> servers.Server:
@@ -165,11 +167,11 @@
         )
 
     def _tell_ready(
-        self, environ: dict[str, str], start_response: fronts.StartResponse
+        self, environ: dict[str, str], start_response: job_api.StartResponse
     ) -> list[bytes]:
         silence = self._view.silence(clocks.read_steady())
         ready = (
-            not self._leaving
+            not self._stopping
             and self._view.configuration is not None
             and silence <= timing.READY_SILENCE_S
         )
@@ -177,21 +179,23 @@
         start_response(status, [("Content-Type", "application/json")])
         return [b"{}"]
 
-    def _leave(self) -> None:
-        if self._leaving:
+    def _begin_shutdown(self) -> None:
+        if self._stopping:
             return
-        self._leaving = True
-        logs.write_event("program.stopping", requests=self._front.active)
-        gevent.spawn(self._finish)
+        self._stopping = True
+        logs.write_event(
+            "program.stopping", requests=self._job_api.active_requests
+        )
+        gevent.spawn(self._shut_down)
 
-    def _finish(self) -> None:
+    def _shut_down(self) -> None:
         self._election.resign()
         grace = self._settings.get("manager", "grace_time", float)
         began = clocks.read_steady()
         gevent.sleep(min(timing.LEAVE_S, grace / 2))
-        if self._front_listener is not None:
+        if self._job_api_listener is not None:
             # Connections that are open are served on.
-            self._front_listener.close()
+            self._job_api_listener.close()
         self._wait_for_calls(began + grace - timing.END_MARGIN_S)
         self._ended.set()
 
@@ -203,7 +207,7 @@
         quiet_since = clocks.read_steady()
         while clocks.read_steady() < until:
             now = clocks.read_steady()
-            if self._front.active:
+            if self._job_api.active_requests:
                 quiet_since = now
             elif now - quiet_since >= timing.LAST_CALLS_S:
                 return
--- a/src/rackvalve/manager/currency.py
+++ b/src/rackvalve/manager/revalidation.py
@@ -17,7 +17,7 @@
 from rackvalve.platform import store as stores
 
 
-class Currency:
+class Revalidator:
     """Compares the configuration held with the store's.
 
     :param store: The store.
@@ -41,7 +41,7 @@
         :param until: When to give up, in seconds.
         :return: Whether it is confirmed; if not, the store does not answer.
         """
-        while self._view.confirmed < since:
+        while self._view.confirmed_at < since:
             now = clocks.read_steady()
             left = until - now
             if left <= 0 or self._view.silence(now) > timing.READY_SILENCE_S:
@@ -79,7 +79,7 @@
             ended.set()
         if isinstance(outcome, stores.Conflict):
             for item in outcome.items.values():
-                self._view.take_item(item)
+                self._view.apply_item(item)
         elif not isinstance(outcome, stores.Committed):
             return False
         self._view.note_contact()
--- a/src/rackvalve/manager/roster.py
+++ b/src/rackvalve/manager/roster.py
@@ -12,7 +12,7 @@
 from rackvalve.jobs import progress
 from rackvalve import logs
 from rackvalve.manager import contact as contacts
-from rackvalve.manager import ports
+from rackvalve.manager import protocols
 from rackvalve.manager import timing
 from rackvalve.platform import documents
 from rackvalve.platform import store as stores
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        owner: ports.Overseer,
+        owner: protocols.SessionOwner,
         book: books.Book,
         *,
         on_change: Callable[[], None],
@@ -225,7 +225,9 @@
         )
         if len(self._book.names.find(worker.life.worker)) > 1:
             # Calls to the lives before do nothing at this one.
-            self._owner.fences.raise_for(worker, self._owner.committed)
+            self._owner.fences.raise_for(
+                worker, self._owner.committed_revision
+            )
         contact = contacts.Contact(self._owner, worker, client)
         self._contacts[worker.identity] = contact
         contact.start()
--- a/src/rackvalve/manager/view.py
+++ b/src/rackvalve/manager/view.py
@@ -19,7 +19,7 @@
         "revision",
         "waves",
         "evacuated",
-        "confirmed",
+        "confirmed_at",
         "_heard",
     )
 
@@ -32,7 +32,7 @@
         self.evacuated: frozenset[str] = frozenset()
         # The last time, in seconds, at which this view is known to have been
         # the newest.
-        self.confirmed = float("-inf")
+        self.confirmed_at = float("-inf")
         self._heard = float("-inf")
 
     def note_confirmed(self, now: float) -> None:
@@ -40,7 +40,7 @@
 
         :param now: The time, in seconds.
         """
-        self.confirmed = max(self.confirmed, now)
+        self.confirmed_at = max(self.confirmed_at, now)
 
     def note_contact(self) -> None:
         """Note that the store has just answered."""
@@ -53,23 +53,23 @@
         """
         return now - self._heard
 
-    def take_range(self, items: tuple[stores.Item, ...]) -> None:
+    def apply_range(self, items: tuple[stores.Item, ...]) -> None:
         """Take all that the operator has written.
 
         :param items: All items under the operator's prefix.
         """
         for item in items:
-            self.take_item(item)
+            self.apply_item(item)
         found = [documents.evacuated_hall_of(item.key) for item in items]
         self._set_evacuated({hall for hall in found if hall is not None})
 
-    def take_changes(self, changes: stores.Changes) -> None:
+    def apply_changes(self, changes: stores.Changes) -> None:
         """Take what the operator has just written.
 
         :param changes: The changes.
         """
         for item in changes.written:
-            self.take_item(item)
+            self.apply_item(item)
         halls = set(self.evacuated)
         for key, is_asked in _list_changes(changes):
             hall = documents.evacuated_hall_of(key)
@@ -87,7 +87,7 @@
         self.evacuated = found
         logs.write_event("halls.evacuated", halls=sorted(found))
 
-    def take_item(self, item: stores.Item) -> None:
+    def apply_item(self, item: stores.Item) -> None:
         """Take one document.
 
         :param item: The document.
--- a/src/rackvalve/manager/writer.py
+++ b/src/rackvalve/manager/writer.py
@@ -33,7 +33,7 @@
 
 
 class Writer:
-    """Writes what one owner marks.
+    """Writes what one owner enqueues.
 
     :param store: The store.
     :param ownership: The condition that this process is the owner.
@@ -64,7 +64,7 @@
         # Whether the next commit may be due.
         self._changed = event.Event()
 
-    def note_read(self, items: tuple[stores.Item, ...]) -> None:
+    def load_revisions(self, items: tuple[stores.Item, ...]) -> None:
         """Take the records that earlier owners have left.
 
         :param items: All progress records, read under this ownership.
@@ -74,18 +74,18 @@
 
     @property
     def number(self) -> int:
-        """Number of the last mark."""
+        """Number of the last write."""
         return self._backlog.number
 
     @property
     def durable(self) -> int:
-        """Number up to which all marks are in the store."""
+        """Number up to which all writes are in the store."""
         return self._backlog.durable
 
     @property
-    def committed(self) -> int:
+    def committed_revision(self) -> int:
         """The store's revision of the newest commit; 0 before the first."""
-        return self._revisions.newest
+        return self._revisions.last_committed
 
     def wait(self, timeout: float) -> None:
         """Wait for the end of the next commit.
@@ -94,7 +94,7 @@
         """
         self._committed.wait(timeout)
 
-    def mark(
+    def enqueue(
         self,
         key: str,
         make: Callable[[], backlogs.Record],
@@ -108,11 +108,11 @@
         :param urgent: Whether something waits for it; if not, it goes with
             the next that is, or after a short while.
         """
-        self._backlog.mark(key, make, clocks.read_steady(), urgent=urgent)
+        self._backlog.enqueue(key, make, clocks.read_steady(), urgent=urgent)
         self._changed.set()
 
     def run(self) -> None:
-        """Send what is marked, until the greenlet is killed."""
+        """Send what is enqueued, until the greenlet is killed."""
         while True:
             wait = self._backlog.find_wait(clocks.read_steady())
             if wait is None or wait > 0:
@@ -126,7 +126,7 @@
     def _begin(self) -> None:
         """Send the next commit, in a greenlet of its own."""
         batch = self._backlog.take(clocks.read_steady())
-        records = {key: mark.make() for key, mark in batch.marks.items()}
+        records = {key: write.make() for key, write in batch.writes.items()}
         self._spawn(functools.partial(self._write, batch, records))
 
     def _write(
@@ -136,7 +136,7 @@
         commit = commits.Commit(self._ownership, payloads, self._revisions)
         if not self._commit(commit):
             return
-        self._backlog.settle(batch, clocks.read_steady())
+        self._backlog.complete_batch(batch, clocks.read_steady())
         self._committed.set()
         self._committed.clear()
         self._changed.set()
@@ -155,14 +155,14 @@
             outcome = self._try(commit, tries)
             tries += 1
             if isinstance(outcome, stores.Committed):
-                commit.take_committed(outcome.revision)
+                commit.record_committed(outcome.revision)
                 return True
             if isinstance(outcome, stores.Conflict):
-                verdict = commit.judge(outcome)
-                if verdict is commits.Verdict.DEPOSED:
+                resolved = commit.resolve_conflict(outcome)
+                if resolved is commits.ConflictOutcome.DEPOSED:
                     self._on_deposed("a record has another owner's revision")
                     return False
-                if verdict is commits.Verdict.WRITTEN:
+                if resolved is commits.ConflictOutcome.WRITTEN:
                     return True
                 continue
             self._note_failure(commit, outcome)
