--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -6,7 +6,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class WatchPace:
+class WatchTiming:
     """How long watches wait.
 
     :param wait: Longest wait of the store for a change, in seconds.
@@ -39,10 +39,10 @@
 # Here the slack may grow: a store that is slower still must be heard.  That of
 # the usual watches may not, for the sake of the configuration (above).
 OWNER_WATCH_SLACK_MOST_S = 1.4
-USUAL_WATCH = WatchPace(
+USUAL_WATCH = WatchTiming(
     wait=WATCH_WAIT_S, slack=WATCH_SLACK_S, slack_most=WATCH_SLACK_S
 )
-OWNER_WATCH = WatchPace(
+OWNER_WATCH = WatchTiming(
     wait=OWNER_WATCH_WAIT_S,
     slack=OWNER_WATCH_SLACK_S,
     slack_most=OWNER_WATCH_SLACK_MOST_S,
