--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -11,12 +11,12 @@
 
     :param wait: Longest wait of the store for a change, in seconds.
     :param slack: How much later its answer may come, in seconds.
-    :param slack_most: The same after failures, each of which doubles it.
+    :param max_slack: The same after failures, each of which doubles it.
     """
 
     wait: float
     slack: float
-    slack_most: float
+    max_slack: float
 
 
 # -- the store -------------------------------------------------------------
@@ -40,12 +40,12 @@
 # the usual watches may not, for the sake of the configuration (above).
 OWNER_WATCH_SLACK_MOST_S = 1.4
 USUAL_WATCH = WatchTiming(
-    wait=WATCH_WAIT_S, slack=WATCH_SLACK_S, slack_most=WATCH_SLACK_S
+    wait=WATCH_WAIT_S, slack=WATCH_SLACK_S, max_slack=WATCH_SLACK_S
 )
 OWNER_WATCH = WatchTiming(
     wait=OWNER_WATCH_WAIT_S,
     slack=OWNER_WATCH_SLACK_S,
-    slack_most=OWNER_WATCH_SLACK_MOST_S,
+    max_slack=OWNER_WATCH_SLACK_MOST_S,
 )
 # Pause before a failed call to the store is made again.
 STORE_PAUSE_S = 0.1
--- a/src/rackvalve/manager/watcher.py
+++ b/src/rackvalve/manager/watcher.py
@@ -101,7 +101,7 @@
             return
         if isinstance(changes, stores.Unavailable):
             # The store may only be slower than was thought.
-            self._slack = min(2 * self._slack, self._pace.slack_most)
+            self._slack = min(2 * self._slack, self._pace.max_slack)
             taken = clocks.read_steady() - began
             self._silent = taken >= self._pace.wait
             self._note_failure("watch", changes.reason)
