--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -39,7 +39,7 @@
 # Here the slack may grow: a store that is slower still must be heard.  That of
 # the usual watches may not, for the sake of the configuration (above).
 OWNER_WATCH_SLACK_MOST_S = 1.4
-USUAL_WATCH = WatchTiming(
+DEFAULT_WATCH = WatchTiming(
     wait=WATCH_WAIT_S, slack=WATCH_SLACK_S, max_slack=WATCH_SLACK_S
 )
 OWNER_WATCH = WatchTiming(
--- a/src/rackvalve/manager/watcher.py
+++ b/src/rackvalve/manager/watcher.py
@@ -37,7 +37,7 @@
         store: stores.Store,
         prefix: str,
         *,
-        pace: timing.WatchTiming = timing.USUAL_WATCH,
+        pace: timing.WatchTiming = timing.DEFAULT_WATCH,
         on_range: Callable[[tuple[stores.Item, ...]], None],
         on_changes: Callable[[stores.Changes], None],
         on_contact: Callable[[], None],
