--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -38,14 +38,14 @@
 OWNER_WATCH_SLACK_S = 0.35
 # Here the slack may grow: a store that is slower still must be heard.  That of
 # the usual watches may not, for the sake of the configuration (above).
-OWNER_WATCH_SLACK_MOST_S = 1.4
+MAX_OWNER_WATCH_SLACK_S = 1.4
 DEFAULT_WATCH = WatchTiming(
     wait=WATCH_WAIT_S, slack=WATCH_SLACK_S, max_slack=WATCH_SLACK_S
 )
 OWNER_WATCH = WatchTiming(
     wait=OWNER_WATCH_WAIT_S,
     slack=OWNER_WATCH_SLACK_S,
-    max_slack=OWNER_WATCH_SLACK_MOST_S,
+    max_slack=MAX_OWNER_WATCH_SLACK_S,
 )
 # Pause before a failed call to the store is made again.
 STORE_PAUSE_S = 0.1
