--- a/src/rackvalve/manager/job_api.py
+++ b/src/rackvalve/manager/job_api.py
@@ -333,7 +333,7 @@
             if isinstance(outcome, stores.Unknown):
                 uncertain = True
             reason = getattr(outcome, "reason", "lease over")
-            gevent.sleep(timing.STORE_PAUSE_S)
+            gevent.sleep(timing.STORE_RETRY_DELAY_S)
         if uncertain:
             return Reply(
                 status=http.HTTPStatus.GATEWAY_TIMEOUT,
@@ -391,7 +391,7 @@
                 return found
             if clocks.read_steady() >= call.until:
                 return found
-            gevent.sleep(timing.STORE_PAUSE_S)
+            gevent.sleep(timing.STORE_RETRY_DELAY_S)
 
     def _cancel(self, call: Call) -> Reply:
         phase = self._read_phase(call)
@@ -419,7 +419,7 @@
                 )
                 return Reply(status=http.HTTPStatus.OK)
             reason = getattr(outcome, "reason", "lease over")
-            gevent.sleep(timing.STORE_PAUSE_S)
+            gevent.sleep(timing.STORE_RETRY_DELAY_S)
         return Reply(
             status=http.HTTPStatus.GATEWAY_TIMEOUT,
             reason=f"the cancelling is not recorded: {reason}",
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -372,7 +372,7 @@
         ]
         for watcher in watches:
             while not watcher.read():
-                gevent.sleep(timing.STORE_PAUSE_S)
+                gevent.sleep(timing.STORE_RETRY_DELAY_S)
         logs.write_event(
             "owner.loaded",
             fence=self.fence,
@@ -402,7 +402,7 @@
             found = self._resources.store.read_range(prefix)
             if isinstance(found, stores.Range):
                 return found.items
-            gevent.sleep(timing.STORE_PAUSE_S)
+            gevent.sleep(timing.STORE_RETRY_DELAY_S)
 
     def _load_vms(self) -> caretakers.Caretaker:
         caretaker = caretakers.Caretaker(
--- a/src/rackvalve/manager/revalidation.py
+++ b/src/rackvalve/manager/revalidation.py
@@ -52,7 +52,7 @@
             elif pause > 0:
                 gevent.sleep(min(left, pause))
             elif not self._compare():
-                gevent.sleep(min(left, timing.STORE_PAUSE_S))
+                gevent.sleep(min(left, timing.STORE_RETRY_DELAY_S))
         return True
 
     def _compare(self) -> bool:
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -48,7 +48,7 @@
     max_slack=MAX_OWNER_WATCH_SLACK_S,
 )
 # Pause before a failed call to the store is made again.
-STORE_PAUSE_S = 0.1
+STORE_RETRY_DELAY_S = 0.1
 # A record that nothing waits for is written this much later, together with
 # others.  The users' pages count an end as known 0.1 s after it was told.
 WRITE_DELAY_S = 0.06
--- a/src/rackvalve/manager/watcher.py
+++ b/src/rackvalve/manager/watcher.py
@@ -124,7 +124,7 @@
             )
         self._failing = True
         if not self._silent:
-            gevent.sleep(timing.STORE_PAUSE_S)
+            gevent.sleep(timing.STORE_RETRY_DELAY_S)
 
     def _note_success(self) -> None:
         if self._failing:
--- a/src/rackvalve/manager/writer.py
+++ b/src/rackvalve/manager/writer.py
@@ -168,7 +168,7 @@
             self._note_failure(commit, outcome)
             # One that was waited for in vain is sent again at once.
             taken = clocks.read_steady() - began
-            gevent.sleep(max(0.0, timing.STORE_PAUSE_S - taken))
+            gevent.sleep(max(0.0, timing.STORE_RETRY_DELAY_S - taken))
 
     def _try(self, commit: commits.Commit, tries: int) -> Outcome:
         sent = clocks.read_steady()
