--- a/src/rackvalve/manager/backlog.py
+++ b/src/rackvalve/manager/backlog.py
@@ -143,7 +143,7 @@
             something else than time.
         """
         ready = len(self._urgent) + len(self._other)
-        if not ready or self.in_flight >= timing.COMMITS_MOST:
+        if not ready or self.in_flight >= timing.MAX_COMMITS_IN_FLIGHT:
             return None
         if self._batches and self.is_failing:
             return None
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -59,7 +59,7 @@
 COMMIT_SPACING_S = 0.02
 # Commits under way at the same time: with 15 records each, 1,000 records a
 # second at answers of 0.24 s; 272 workers made up to 700.
-COMMITS_MOST = 16
+MAX_COMMITS_IN_FLIGHT = 16
 # Longest wait for the answer to the first try of a commit, and to any: a slow
 # store answers within 0.24 s, a lost answer should cost little, and a store
 # that is slower still must be heard in the end.
