--- a/features/steps/commit_steps.py
+++ b/features/steps/commit_steps.py
@@ -305,4 +305,4 @@
 
 @behave.then("it waits as long as any try for its answer")
 def check_limit(context):
-    assert context.limit == timing.COMMIT_TIMEOUT_MOST_S, context.limit
+    assert context.limit == timing.MAX_COMMIT_TIMEOUT_S, context.limit
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -64,7 +64,7 @@
 # store answers within 0.24 s, a lost answer should cost little, and a store
 # that is slower still must be heard in the end.
 COMMIT_TIMEOUT_S = 0.4
-COMMIT_TIMEOUT_MOST_S = 1.6
+MAX_COMMIT_TIMEOUT_S = 1.6
 
 # -- ownership -------------------------------------------------------------
 # Length of the owner's lease where nothing is late: the least that the store
--- a/src/rackvalve/manager/writer.py
+++ b/src/rackvalve/manager/writer.py
@@ -203,4 +203,4 @@
     """
     doubled = 2 ** min(tries, _MOST_DOUBLINGS)
     longer: float = timing.COMMIT_TIMEOUT_S * doubled
-    return min(longer, timing.COMMIT_TIMEOUT_MOST_S)
+    return min(longer, timing.MAX_COMMIT_TIMEOUT_S)
