--- a/src/rackvalve/manager/candidacy.py
+++ b/src/rackvalve/manager/candidacy.py
@@ -148,4 +148,4 @@
             self._late.popleft()
         worst = max((late for _, late in self._late), default=0.0)
         length = timing.OWNER_LEASE_S + timing.LEASE_PER_LATENESS * worst
-        return min(timing.OWNER_LEASE_MOST_S, length)
+        return min(timing.MAX_OWNER_LEASE_S, length)
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -72,7 +72,7 @@
 OWNER_LEASE_S = 1.0
 # Its greatest length, in seconds, where processes stand still or the store is
 # slow: more would cost a lost owner's jobs more than 3 s.
-OWNER_LEASE_MOST_S = 3.0
+MAX_OWNER_LEASE_S = 3.0
 # How much longer it is for each second by which this process was late lately:
 # once for the renewal itself, once for the one before.
 LEASE_PER_LATENESS = 2.0
