--- a/src/rackvalve/manager/election.py
+++ b/src/rackvalve/manager/election.py
@@ -99,7 +99,7 @@
         self._owner: protocols.ElectedOwner | None = None
         self._lease = 0
         # Its length, in seconds, and what it should be as late as we are.
-        self._lease_length = timing.OWNER_LEASE_S
+        self._lease_length = timing.MIN_OWNER_LEASE_S
         # Whether the key is known to end with that lease, and with no other.
         self._is_bound = True
         self._lateness = candidacy.Lateness()
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -69,7 +69,7 @@
 # -- ownership -------------------------------------------------------------
 # Length of the owner's lease where nothing is late: the least that the store
 # gives.  It is what a lost owner costs without starts.
-OWNER_LEASE_S = 1.0
+MIN_OWNER_LEASE_S = 1.0
 # Its greatest length, in seconds, where processes stand still or the store is
 # slow: more would cost a lost owner's jobs more than 3 s.
 MAX_OWNER_LEASE_S = 3.0
