--- a/src/rackvalve/manager/candidacy.py
+++ b/src/rackvalve/manager/candidacy.py
@@ -147,5 +147,5 @@
         while self._late and now - self._late[0][0] > timing.LATENESS_KEPT_S:
             self._late.popleft()
         worst = max((late for _, late in self._late), default=0.0)
-        length = timing.MIN_OWNER_LEASE_S + timing.LEASE_PER_LATENESS * worst
+        length = timing.MIN_OWNER_LEASE_S + timing.LEASE_PER_DELAY * worst
         return min(timing.MAX_OWNER_LEASE_S, length)
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -75,7 +75,7 @@
 MAX_OWNER_LEASE_S = 3.0
 # How much longer it is for each second by which this process was late lately:
 # once for the renewal itself, once for the one before.
-LEASE_PER_LATENESS = 2.0
+LEASE_PER_DELAY = 2.0
 # What was late is remembered for this long, in seconds; less than the second
 # figure does not count: the shortest lease bears it twice between renewals.
 LATENESS_KEPT_S = 20.0
