--- a/src/rackvalve/manager/candidacy.py
+++ b/src/rackvalve/manager/candidacy.py
@@ -144,7 +144,7 @@
 
         :param now: Present time, in seconds.
         """
-        while self._late and now - self._late[0][0] > timing.LATENESS_KEPT_S:
+        while self._late and now - self._late[0][0] > timing.DELAY_RETENTION_S:
             self._late.popleft()
         worst = max((late for _, late in self._late), default=0.0)
         length = timing.MIN_OWNER_LEASE_S + timing.LEASE_PER_DELAY * worst
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -78,7 +78,7 @@
 LEASE_PER_DELAY = 2.0
 # What was late is remembered for this long, in seconds; less than the second
 # figure does not count: the shortest lease bears it twice between renewals.
-LATENESS_KEPT_S = 20.0
+DELAY_RETENTION_S = 20.0
 LATENESS_LEAST_S = 0.25
 # Pause between two renewals, and the longest wait for an answer to one: one
 # renewal may not arrive, any number of answers may be lost, and a slow store
