--- a/src/rackvalve/manager/candidacy.py
+++ b/src/rackvalve/manager/candidacy.py
@@ -136,7 +136,7 @@
         :param late: Time beyond what it was to take, in seconds.
         :param now: Present time, in seconds.
         """
-        if late >= timing.LATENESS_LEAST_S:
+        if late >= timing.MIN_DELAY_S:
             self._late.append((now, late))
 
     def choose_lease(self, now: float) -> float:
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -79,7 +79,7 @@
 # What was late is remembered for this long, in seconds; less than the second
 # figure does not count: the shortest lease bears it twice between renewals.
 DELAY_RETENTION_S = 20.0
-LATENESS_LEAST_S = 0.25
+MIN_DELAY_S = 0.25
 # Pause between two renewals, and the longest wait for an answer to one: one
 # renewal may not arrive, any number of answers may be lost, and a slow store
 # answers within 0.24 s.
