--- a/src/rackvalve/manager/election.py
+++ b/src/rackvalve/manager/election.py
@@ -140,10 +140,10 @@
     def _wait(self) -> None:
         """Wait for a change, or until it is time for the next renewal."""
         began = clocks.read_steady()
-        self._changed.wait(timing.OWNER_RENEWAL_S)
+        self._changed.wait(timing.OWNER_RENEWAL_INTERVAL_S)
         self._changed.clear()
         now = clocks.read_steady()
-        self._lateness.note(now - began - timing.OWNER_RENEWAL_S, now)
+        self._lateness.note(now - began - timing.OWNER_RENEWAL_INTERVAL_S, now)
 
     def _open_lease(self) -> _Lease | None:
         """Open a lease as long as this process needs one.
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -83,7 +83,7 @@
 # Pause between two renewals, and the longest wait for an answer to one: one
 # renewal may not arrive, any number of answers may be lost, and a slow store
 # answers within 0.24 s.
-OWNER_RENEWAL_S = 0.25
+OWNER_RENEWAL_INTERVAL_S = 0.25
 RENEWAL_TIMEOUT_S = 0.4
 # The store was away if it has answered nothing for so long: a watch is
 # answered within a second, or 0.3 s later by a slow store.
