--- a/src/rackvalve/manager/election.py
+++ b/src/rackvalve/manager/election.py
@@ -175,7 +175,7 @@
     def _note_answer(self) -> None:
         """Note that the store has answered, and whether it was away."""
         now = clocks.read_steady()
-        if now - self._answered > timing.OUTAGE_S:
+        if now - self._answered > timing.STORE_OUTAGE_S:
             self._returned = now
         self._answered = now
         self._on_contact()
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -87,7 +87,7 @@
 RENEWAL_TIMEOUT_S = 0.4
 # The store was away if it has answered nothing for so long: a watch is
 # answered within a second, or 0.3 s later by a slow store.
-OUTAGE_S = 1.5
+STORE_OUTAGE_S = 1.5
 # An owner that hears nothing from the store goes on extending the leases of
 # what runs for this long.  With the lease itself that bears outages of 8 s;
 # longer lengthens the wait for proof after a change of owner.
