--- a/src/rackvalve/manager/contact.py
+++ b/src/rackvalve/manager/contact.py
@@ -143,7 +143,7 @@
             wait=wait,
             timeout=self._patience,
         )
-        self._patience = timing.HOLD_TIMEOUT_MOST_S
+        self._patience = timing.MAX_HOLD_TIMEOUT_S
         if isinstance(outcome, clients.Report):
             late = clocks.read_steady() - now - wait
             # An answer that an end cut short seems less late than it is.
@@ -388,7 +388,7 @@
     :param late: How long beyond its wait the last one took, in seconds.
     """
     longer = max(timing.ORDER_TIMEOUT_S, late * timing.HOLD_PATIENCE)
-    return min(timing.HOLD_TIMEOUT_MOST_S, longer)
+    return min(timing.MAX_HOLD_TIMEOUT_S, longer)
 
 
 @functools.singledispatch
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -105,9 +105,9 @@
 # extended after an answered hold, so a limit that is never kept would let all
 # lapse on a worker that is reached.  With the wait and the pause before it, a
 # hold that follows one without an answer still ends within the lease.
-HOLD_TIMEOUT_MOST_S = 1.5
+MAX_HOLD_TIMEOUT_S = 1.5
 # A hold takes no longer than this, in seconds.
-HOLD_MOST_S = HOLD_WAIT_S + HOLD_TIMEOUT_MOST_S
+HOLD_MOST_S = HOLD_WAIT_S + MAX_HOLD_TIMEOUT_S
 # A hold is given so many times what the last one took beyond its wait.
 HOLD_PATIENCE = 2.0
 # After a report with ends the next hold waits this long for their record:
