--- a/features/job_cores.py
+++ b/features/job_cores.py
@@ -42,7 +42,7 @@
             lease=timing.WORKER_LEASE_S,
             settling=0.0,
             hold_wait=timing.HOLD_WAIT_S,
-            hold_most=timing.HOLD_MOST_S,
+            hold_most=timing.MAX_HOLD_S,
         ),
         planner=planners.Planner(
             book,
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -121,7 +121,7 @@
             lease=timing.WORKER_LEASE_S,
             settling=rules.stop_time + timing.STOP_MARGIN_S,
             hold_wait=timing.HOLD_WAIT_S,
-            hold_most=timing.HOLD_MOST_S,
+            hold_most=timing.MAX_HOLD_S,
         )
         self._planner = planners.Planner(
             self._book,
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -107,7 +107,7 @@
 # hold that follows one without an answer still ends within the lease.
 MAX_HOLD_TIMEOUT_S = 1.5
 # A hold takes no longer than this, in seconds.
-HOLD_MOST_S = HOLD_WAIT_S + MAX_HOLD_TIMEOUT_S
+MAX_HOLD_S = HOLD_WAIT_S + MAX_HOLD_TIMEOUT_S
 # A hold is given so many times what the last one took beyond its wait.
 HOLD_PATIENCE = 2.0
 # After a report with ends the next hold waits this long for their record:
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -80,7 +80,7 @@
             lease=timing.WORKER_LEASE_S,
             settling=0.0,
             hold_wait=timing.HOLD_WAIT_S,
-            hold_most=timing.HOLD_MOST_S,
+            hold_most=timing.MAX_HOLD_S,
         )
         self.book.speeds = policy.speeds()
         self.planner = policy.planner(
