--- a/src/rackvalve/manager/contact.py
+++ b/src/rackvalve/manager/contact.py
@@ -387,7 +387,7 @@
 
     :param late: How long beyond its wait the last one took, in seconds.
     """
-    longer = max(timing.ORDER_TIMEOUT_S, late * timing.HOLD_PATIENCE)
+    longer = max(timing.ORDER_TIMEOUT_S, late * timing.HOLD_TIMEOUT_FACTOR)
     return min(timing.MAX_HOLD_TIMEOUT_S, longer)
 
 
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -109,7 +109,7 @@
 # A hold takes no longer than this, in seconds.
 MAX_HOLD_S = HOLD_WAIT_S + MAX_HOLD_TIMEOUT_S
 # A hold is given so many times what the last one took beyond its wait.
-HOLD_PATIENCE = 2.0
+HOLD_TIMEOUT_FACTOR = 2.0
 # After a report with ends the next hold waits this long for their record:
 # before that, the worker would tell the same ends at once.
 RECORD_WAIT_S = 0.2
