--- a/src/rackvalve/manager/contact.py
+++ b/src/rackvalve/manager/contact.py
@@ -282,7 +282,7 @@
         runs proved over by its lease, and a stop would not reach it either.
         """
         waited = clocks.read_steady() - began
-        return self._answering and waited > timing.START_TRIES_S
+        return self._answering and waited > timing.START_TIMEOUT_S
 
     def _lease_until(self) -> float | None:
         """Return the end of a lease that begins now, on the worker's clock.
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -115,7 +115,7 @@
 RECORD_WAIT_S = 0.2
 # A start that a worker which answers holds has not answered for this long is
 # given up: the run is sealed by a stop, and its task starts elsewhere.
-START_TRIES_S = 1.5
+START_TIMEOUT_S = 1.5
 # Longest wait for a worker's answer to an order.
 ORDER_TIMEOUT_S = 0.5
 # Pause before a failed order or hold is made again.
