--- a/src/rackvalve/manager/contact.py
+++ b/src/rackvalve/manager/contact.py
@@ -116,9 +116,9 @@
         One that only records name is mostly gone, and there may be many.
         """
         if self._worker.runs and self._worker.entry is not None:
-            return timing.ORDER_PAUSE_S
+            return timing.ORDER_RETRY_DELAY_S
         self._silent += 1
-        longer: float = timing.ORDER_PAUSE_S * 2 ** min(self._silent, 10)
+        longer: float = timing.ORDER_RETRY_DELAY_S * 2 ** min(self._silent, 10)
         return min(timing.SILENT_PAUSE_S, longer)
 
     def _hold(self) -> clients.Report | clients.Outcome:
@@ -236,7 +236,7 @@
             born = int((clocks.read_wall() - other.clock) * 1000)
         if not self._worker.established:
             # Even one that tells another birth each time costs few calls.
-            gevent.sleep(timing.ORDER_PAUSE_S)
+            gevent.sleep(timing.ORDER_RETRY_DELAY_S)
         self._owner.follow(self._worker, born)
 
     def _send_forever(self) -> None:
@@ -273,7 +273,7 @@
             if isinstance(outcome, clients.Rejected):
                 # Its lease is over on the worker's clock; ask for a new one.
                 until = None
-            gevent.sleep(timing.ORDER_PAUSE_S)
+            gevent.sleep(timing.ORDER_RETRY_DELAY_S)
 
     def _is_given_up(self, began: float) -> bool:
         """Return whether a start has had no answer for too long.
@@ -355,7 +355,7 @@
                 return
             if not isinstance(outcome, (connections.NoAnswer, clients.Unwell)):
                 self._take_outcome(outcome)
-            gevent.sleep(timing.ORDER_PAUSE_S)
+            gevent.sleep(timing.ORDER_RETRY_DELAY_S)
 
     def set_pace(self, order: messages.SetPace) -> None:
         """Have a run work at a share of its speed; the next report corrects.
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -119,7 +119,7 @@
 # Longest wait for a worker's answer to an order.
 ORDER_TIMEOUT_S = 0.5
 # Pause before a failed order or hold is made again.
-ORDER_PAUSE_S = 0.1
+ORDER_RETRY_DELAY_S = 0.1
 # Longest pause between two holds of a silent worker that runs nothing.  Most
 # of these are off for good: their VM was moved or maintained.
 SILENT_PAUSE_S = 1.0
