--- a/src/rackvalve/manager/contact.py
+++ b/src/rackvalve/manager/contact.py
@@ -119,7 +119,7 @@
             return timing.ORDER_RETRY_DELAY_S
         self._silent += 1
         longer: float = timing.ORDER_RETRY_DELAY_S * 2 ** min(self._silent, 10)
-        return min(timing.SILENT_PAUSE_S, longer)
+        return min(timing.MAX_HOLD_RETRY_DELAY_S, longer)
 
     def _hold(self) -> clients.Report | clients.Outcome:
         now = clocks.read_steady()
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -122,7 +122,7 @@
 ORDER_RETRY_DELAY_S = 0.1
 # Longest pause between two holds of a silent worker that runs nothing.  Most
 # of these are off for good: their VM was moved or maintained.
-SILENT_PAUSE_S = 1.0
+MAX_HOLD_RETRY_DELAY_S = 1.0
 # A worker that has not answered for this long gets no new work.
 FRESHNESS_S = 0.9
 # A worker's entry that is missing for longer than this is taken as gone; the
