--- a/src/rackvalve/manager/admission.py
+++ b/src/rackvalve/manager/admission.py
@@ -117,7 +117,7 @@
             logs.write_warning(
                 "admission.failed", step=step, reason="no service is set"
             )
-            gevent.sleep(timing.ADMISSION_PAUSE_S)
+            gevent.sleep(timing.ADMISSION_RETRY_DELAY_S)
             return
         expected = advice.decide_time + advice.worker_time * len(names)
         answer = self._adviser.ask(
@@ -127,7 +127,7 @@
             logs.write_warning(
                 "admission.failed", step=step, reason=answer.reason
             )
-            gevent.sleep(timing.ADMISSION_PAUSE_S)
+            gevent.sleep(timing.ADMISSION_RETRY_DELAY_S)
             return
         now = clocks.read_steady()
         valid = (answer.valid or advice.valid) - timing.ADMISSION_MARGIN_S
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -147,7 +147,7 @@
 # Pause when no step waits for an admission.
 ADMISSION_INTERVAL_S = 0.05
 # Pause after the service has failed.
-ADMISSION_PAUSE_S = 0.2
+ADMISSION_RETRY_DELAY_S = 0.2
 # Longest wait beyond the time that the configuration gives for an answer;
 # calls of this process are answered in turn.
 ADMISSION_SLACK_S = 1.0
