--- a/src/rackvalve/manager/admission.py
+++ b/src/rackvalve/manager/admission.py
@@ -110,7 +110,9 @@
             and worker.identity not in denied
         ]
         found.sort(key=lambda worker: -worker.free.cpu)
-        return [worker.identity for worker in found[: timing.ADMISSION_MOST]]
+        return [
+            worker.identity for worker in found[: timing.MAX_ADMISSION_WORKERS]
+        ]
 
     def _ask(self, step: str, names: list[str], advice: queues.Advice) -> None:
         if self._adviser is None:
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -155,7 +155,7 @@
 ADMISSION_MARGIN_S = 0.2
 # Workers named in one call: each one makes the answer later.  The users'
 # objective counts one call on 30 workers a step.
-ADMISSION_MOST = 30
+MAX_ADMISSION_WORKERS = 30
 
 # -- VMs -------------------------------------------------------------------
 # How often it is decided which VM is closed, vacated or maintained next.
