--- a/src/rackvalve/manager/admission.py
+++ b/src/rackvalve/manager/admission.py
@@ -132,8 +132,8 @@
             gevent.sleep(timing.ADMISSION_RETRY_DELAY_S)
             return
         now = clocks.read_steady()
-        valid = (answer.valid or advice.valid) - timing.ADMISSION_MARGIN_S
-        self._expiry[step] = now + max(valid, timing.ADMISSION_MARGIN_S)
+        valid = (answer.valid or advice.valid) - timing.TICKET_EXPIRY_MARGIN_S
+        self._expiry[step] = now + max(valid, timing.TICKET_EXPIRY_MARGIN_S)
         denied = set(names) - answer.tickets.keys()
         self._denied.setdefault(step, set()).update(denied)
         self._planner.tickets[step] = answer.tickets
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -152,7 +152,7 @@
 # calls of this process are answered in turn.
 ADMISSION_SLACK_S = 1.0
 # Tickets are not used for the last part of their time.
-ADMISSION_MARGIN_S = 0.2
+TICKET_EXPIRY_MARGIN_S = 0.2
 # Workers named in one call: each one makes the answer later.  The users'
 # objective counts one call on 30 workers a step.
 MAX_ADMISSION_WORKERS = 30
