--- a/src/rackvalve/manager/caretaker.py
+++ b/src/rackvalve/manager/caretaker.py
@@ -173,7 +173,7 @@
             self._release_held(now)
             self._forget_ordered(now)
             self._step(now)
-            gevent.sleep(timing.CARE_INTERVAL_S)
+            gevent.sleep(timing.VM_CONTROL_INTERVAL_S)
 
     def _choose_list_interval(self) -> float:
         """Return how often the VMs are listed now, in seconds."""
@@ -314,7 +314,7 @@
             self._writer.enqueue(ORDERS_KEY, self._make_ordered)
             write = self._writer.number
             while self._writer.durable < write:
-                gevent.sleep(timing.CARE_INTERVAL_S / 10)
+                gevent.sleep(timing.VM_CONTROL_INTERVAL_S / 10)
 
     def _order(self, vm: str, send: Callable[[], Outcome]) -> Outcome:
         """Give an order until it is known what became of it.
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -159,7 +159,7 @@
 
 # -- VMs -------------------------------------------------------------------
 # How often it is decided which VM is closed, vacated or maintained next.
-CARE_INTERVAL_S = 0.1
+VM_CONTROL_INTERVAL_S = 0.1
 # How often the platform's list of VMs is read, with a wave under way or not.
 LIST_BUSY_INTERVAL_S = 0.4
 LIST_INTERVAL_S = 2.0
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -264,7 +264,7 @@
                 self.at(self.now + ORDER_S, function)
             self._apply_closing()
             self._wake()
-        self.at(self.now + timing.CARE_INTERVAL_S, self._care)
+        self.at(self.now + timing.VM_CONTROL_INTERVAL_S, self._care)
 
     def _apply_closing(self) -> None:
         waves = self.upkeep.leaving()
