--- a/src/rackvalve/manager/caretaker.py
+++ b/src/rackvalve/manager/caretaker.py
@@ -308,7 +308,7 @@
         """
         began = float("-inf")
         # A process that was frozen meanwhile asks again: the answer is old.
-        while clocks.read_steady() - began > timing.CONFIRMATION_S:
+        while clocks.read_steady() - began > timing.MAX_CONFIRMATION_AGE_S:
             began = clocks.read_steady()
             self._ordered[vm] = None
             self._writer.enqueue(ORDERS_KEY, self._make_ordered)
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -165,7 +165,7 @@
 LIST_INTERVAL_S = 2.0
 # An order to a VM is given this long after the store was asked at most.  No
 # other process gives that VM orders within its own pause.
-CONFIRMATION_S = 0.9
+MAX_CONFIRMATION_AGE_S = 0.9
 # An order without an answer is given again after this pause, so many times.
 VM_ORDER_PAUSE_S = 0.3
 VM_ORDER_TRIES = 10
