--- a/src/rackvalve/manager/caretaker.py
+++ b/src/rackvalve/manager/caretaker.py
@@ -340,7 +340,7 @@
                     for worker in lives:
                         worker.ordered_away = False
                     return outcome
-            gevent.sleep(timing.VM_ORDER_PAUSE_S)
+            gevent.sleep(timing.VM_ORDER_RETRY_DELAY_S)
         self._hold_uncertain(vm)
         return outcome
 
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -167,7 +167,7 @@
 # other process gives that VM orders within its own pause.
 MAX_CONFIRMATION_AGE_S = 0.9
 # An order without an answer is given again after this pause, so many times.
-VM_ORDER_PAUSE_S = 0.3
+VM_ORDER_RETRY_DELAY_S = 0.3
 VM_ORDER_TRIES = 10
 # How often the sizes of pools are logged.
 SIZES_LOG_INTERVAL_S = 1.0
