--- a/features/steps/caretaker_steps.py
+++ b/features/steps/caretaker_steps.py
@@ -333,7 +333,7 @@
     lost = machines.Unavailable(reason="no answer in time")
     context.items = ()
     take_over_moves(context)
-    context.machines.answers = [lost] * timing.VM_ORDER_TRIES
+    context.machines.answers = [lost] * timing.VM_ORDER_ATTEMPTS
     with mock.patch.object(caretaker.gevent, "sleep"):
         give_orders(context, "w0")
     context.tenths = place_tasks(context, 40)
--- a/src/rackvalve/manager/caretaker.py
+++ b/src/rackvalve/manager/caretaker.py
@@ -326,7 +326,7 @@
         :param send: Gives the order once.
         """
         uncertain = False
-        for _ in range(timing.VM_ORDER_TRIES):
+        for _ in range(timing.VM_ORDER_ATTEMPTS):
             self._confirm_ownership(vm)
             lives = self._note_order(vm)
             outcome = send()
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -168,7 +168,7 @@
 MAX_CONFIRMATION_AGE_S = 0.9
 # An order without an answer is given again after this pause, so many times.
 VM_ORDER_RETRY_DELAY_S = 0.3
-VM_ORDER_TRIES = 10
+VM_ORDER_ATTEMPTS = 10
 # How often the sizes of pools are logged.
 SIZES_LOG_INTERVAL_S = 1.0
 # Longest wait for an answer of the platform's interface to its VMs.
