--- a/src/rackvalve/manager/program.py
+++ b/src/rackvalve/manager/program.py
@@ -67,7 +67,7 @@
             machines.host, machines.port
         )
         self._machines = machine_clients.Machines(
-            self._machine_client, vm, timeout=timing.MACHINES_TIMEOUT_S
+            self._machine_client, vm, timeout=timing.VM_API_TIMEOUT_S
         )
         self._adviser = self._make_adviser()
         self._view = views.View()
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -172,7 +172,7 @@
 # How often the sizes of pools are logged.
 SIZES_LOG_INTERVAL_S = 1.0
 # Longest wait for an answer of the platform's interface to its VMs.
-MACHINES_TIMEOUT_S = 1.0
+VM_API_TIMEOUT_S = 1.0
 
 # -- callers ---------------------------------------------------------------
 # Longest time spent on a caller's request when it names no deadline.
