--- a/src/rackvalve/manager/job_api.py
+++ b/src/rackvalve/manager/job_api.py
@@ -192,7 +192,7 @@
     def _choose_retry(self) -> int:
         """Return when a caller should come back, in seconds."""
         silence = self._view.silence(clocks.read_steady())
-        if silence > timing.READY_SILENCE_S:
+        if silence > timing.MAX_STORE_SILENCE_S:
             return timing.RETRY_AFTER_OUTAGE_S
         return timing.RETRY_AFTER_S
 
@@ -302,7 +302,7 @@
         if self._is_stopping():
             return _refuse("this process is to end")
         silence = self._view.silence(clocks.read_steady())
-        if silence > timing.READY_SILENCE_S:
+        if silence > timing.MAX_STORE_SILENCE_S:
             # Without a write there is nothing that could take effect late.
             return _refuse("the store does not answer this process")
         return self._accept(call, job)
--- a/src/rackvalve/manager/program.py
+++ b/src/rackvalve/manager/program.py
@@ -173,7 +173,7 @@
         ready = (
             not self._stopping
             and self._view.configuration is not None
-            and silence <= timing.READY_SILENCE_S
+            and silence <= timing.MAX_STORE_SILENCE_S
         )
         status = "200 OK" if ready else "503 Service Unavailable"
         start_response(status, [("Content-Type", "application/json")])
--- a/src/rackvalve/manager/revalidation.py
+++ b/src/rackvalve/manager/revalidation.py
@@ -44,7 +44,10 @@
         while self._view.confirmed_at < since:
             now = clocks.read_steady()
             left = until - now
-            if left <= 0 or self._view.silence(now) > timing.READY_SILENCE_S:
+            if (
+                left <= 0
+                or self._view.silence(now) > timing.MAX_STORE_SILENCE_S
+            ):
                 return False
             pause = self._compared + timing.COMPARISON_SPACING_S - now
             if self._comparison is not None:
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -186,7 +186,7 @@
 RETRY_AFTER_OUTAGE_S = 2
 # A process that has not heard from the store for this long takes no jobs: a
 # watch is answered after a second, or 0.2 s later by a slow store.
-READY_SILENCE_S = 1.6
+MAX_STORE_SILENCE_S = 1.6
 # Callers are answered by a configuration that was the newest within this
 # time: longer than a watch that is well takes (1 s, 0.2 s more by a slow
 # store), shorter than the 2 s within which one has to be in force.
