--- a/src/rackvalve/manager/job_api.py
+++ b/src/rackvalve/manager/job_api.py
@@ -206,7 +206,7 @@
         # A right that is found may be a little old; that there is none must
         # be true now, since it may have been given a moment ago.
         known = self._find_match(host, path, shown).allowed
-        since = now - timing.VIEW_AGE_S if known else now
+        since = now - timing.MAX_VIEW_AGE_S if known else now
         if not self._revalidator.confirm(since, until):
             return _refuse("the newest configuration is not known")
         match = self._find_match(host, path, shown)
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -190,7 +190,7 @@
 # Callers are answered by a configuration that was the newest within this
 # time: longer than a watch that is well takes (1 s, 0.2 s more by a slow
 # store), shorter than the 2 s within which one has to be in force.
-VIEW_AGE_S = 1.5
+MAX_VIEW_AGE_S = 1.5
 
 # Least time between two comparisons of the configuration with the store's.
 # Callers with invented keys or paths make each manager compare at most 20
