--- a/src/rackvalve/manager/election.py
+++ b/src/rackvalve/manager/election.py
@@ -119,7 +119,7 @@
             on_changes=self._take_changes,
             on_contact=self._note_answer,
         )
-        pause = timing.FAILURE_PAUSE_S
+        pause = timing.TASK_RESTART_DELAY_S
         return (
             tasks.run_forever("ownership watch", pause, watcher.run),
             tasks.run_forever("ownership", pause, self._take_part),
--- a/src/rackvalve/manager/program.py
+++ b/src/rackvalve/manager/program.py
@@ -109,7 +109,7 @@
             on_changes=self._view.apply_changes,
             on_contact=self._note_operator,
         )
-        pause = timing.FAILURE_PAUSE_S
+        pause = timing.TASK_RESTART_DELAY_S
         tasks.run_forever("operator watch", pause, operator.run)
         tasks.run_forever("settings", pause, self._follow_settings)
         self._election.start()
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -202,7 +202,7 @@
 # -- failures --------------------------------------------------------------
 # Pause before a task of the process that met an error which nobody expected
 # begins anew: an owner's lease of a second bears it twice.
-FAILURE_PAUSE_S = 0.25
+TASK_RESTART_DELAY_S = 0.25
 
 # -- end -------------------------------------------------------------------
 # After SIGTERM new connections are taken for this long: the balancer needs
