--- a/src/rackvalve/manager/program.py
+++ b/src/rackvalve/manager/program.py
@@ -192,7 +192,7 @@
         self._election.resign()
         grace = self._settings.get("manager", "grace_time", float)
         began = clocks.read_steady()
-        gevent.sleep(min(timing.LEAVE_S, grace / 2))
+        gevent.sleep(min(timing.SHUTDOWN_DELAY_S, grace / 2))
         if self._job_api_listener is not None:
             # Connections that are open are served on.
             self._job_api_listener.close()
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -207,7 +207,7 @@
 # -- end -------------------------------------------------------------------
 # After SIGTERM new connections are taken for this long: the balancer needs
 # two missed looks, a second apart.
-LEAVE_S = 2.6
+SHUTDOWN_DELAY_S = 2.6
 # The process ends once no call was under way for this long after it has taken
 # its last connection: what was just accepted is read within some milliseconds.
 LAST_CALLS_S = 0.1
