--- a/src/rackvalve/manager/program.py
+++ b/src/rackvalve/manager/program.py
@@ -209,9 +209,9 @@
             now = clocks.read_steady()
             if self._job_api.active_requests:
                 quiet_since = now
-            elif now - quiet_since >= timing.LAST_CALLS_S:
+            elif now - quiet_since >= timing.SHUTDOWN_IDLE_S:
                 return
-            gevent.sleep(timing.LAST_CALLS_S / 4)
+            gevent.sleep(timing.SHUTDOWN_IDLE_S / 4)
 
     def _reload(self) -> None:
         settings, faults = reader.check_file(self._path, catalog.MANAGER_KEYS)
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -210,7 +210,7 @@
 SHUTDOWN_DELAY_S = 2.6
 # The process ends once no call was under way for this long after it has taken
 # its last connection: what was just accepted is read within some milliseconds.
-LAST_CALLS_S = 0.1
+SHUTDOWN_IDLE_S = 0.1
 # The process ends this long before it would be killed.
 END_MARGIN_S = 0.5
 
