--- a/src/rackvalve/manager/program.py
+++ b/src/rackvalve/manager/program.py
@@ -196,7 +196,7 @@
         if self._job_api_listener is not None:
             # Connections that are open are served on.
             self._job_api_listener.close()
-        self._wait_for_calls(began + grace - timing.END_MARGIN_S)
+        self._wait_for_calls(began + grace - timing.SHUTDOWN_MARGIN_S)
         self._ended.set()
 
     def _wait_for_calls(self, until: float) -> None:
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -212,7 +212,7 @@
 # its last connection: what was just accepted is read within some milliseconds.
 SHUTDOWN_IDLE_S = 0.1
 # The process ends this long before it would be killed.
-END_MARGIN_S = 0.5
+SHUTDOWN_MARGIN_S = 0.5
 
 # -- records ---------------------------------------------------------------
 # Ended jobs are kept this much longer than the users ask.
