--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -224,7 +224,7 @@
 WAITING_RENEWAL_S = 1.0
 # Callers bear a number that is 2 s old.  Reading it from a slow store takes
 # 0.24 s, publishing it as long.
-COUNT_AGE_MOST_S = 1.6
+MAX_COUNT_AGE_S = 1.6
 # Clocks of VMs that are well differ by less than this, in seconds.
 COUNT_AHEAD_MOST_S = 0.5
 # What a process has counted itself is told again for this long: a burst of
