--- a/src/rackvalve/manager/counts.py
+++ b/src/rackvalve/manager/counts.py
@@ -151,7 +151,7 @@
     One from a time to come was dated by a clock that is not ours.
     """
     age = wall - record.counted
-    return -timing.COUNT_AHEAD_MOST_S <= age <= timing.MAX_COUNT_AGE_S
+    return -timing.MAX_CLOCK_SKEW_S <= age <= timing.MAX_COUNT_AGE_S
 
 
 def _list_jobs(
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -226,7 +226,7 @@
 # 0.24 s, publishing it as long.
 MAX_COUNT_AGE_S = 1.6
 # Clocks of VMs that are well differ by less than this, in seconds.
-COUNT_AHEAD_MOST_S = 0.5
+MAX_CLOCK_SKEW_S = 0.5
 # What a process has counted itself is told again for this long: a burst of
 # questions, while nobody publishes, costs one reading of a queue's records.
 COUNT_KEPT_S = 0.5
