--- a/src/rackvalve/manager/counts.py
+++ b/src/rackvalve/manager/counts.py
@@ -111,7 +111,7 @@
         turn = self._locks.setdefault(queue, lock.BoundedSemaphore())
         with turn:
             counted = self._counted.get(queue)
-            if counted is None or now - counted.at > timing.COUNT_KEPT_S:
+            if counted is None or now - counted.at > timing.COUNT_CACHE_S:
                 began = clocks.read_steady()
                 waiting = self._read_waiting(queue)
                 if isinstance(waiting, stores.Unavailable):
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -229,4 +229,4 @@
 MAX_CLOCK_SKEW_S = 0.5
 # What a process has counted itself is told again for this long: a burst of
 # questions, while nobody publishes, costs one reading of a queue's records.
-COUNT_KEPT_S = 0.5
+COUNT_CACHE_S = 0.5
