--- a/src/rackvalve/manager/election.py
+++ b/src/rackvalve/manager/election.py
@@ -38,7 +38,7 @@
 CANDIDACY_SPREAD_S = 0.02
 # A lease is replaced if it is too long or too short by more than this, in
 # seconds: that takes two calls.
-LEASE_STEP_S = 0.3
+LEASE_TOLERANCE_S = 0.3
 _TAKEN_BY_ANOTHER = "another process has taken the ownership"
 
 
@@ -153,7 +153,7 @@
         length = self._lateness.choose_lease(clocks.read_steady())
         lease = self._open_lease_of(length)
         wanted = self._lateness.choose_lease(clocks.read_steady())
-        if lease is not None and wanted - length > LEASE_STEP_S:
+        if lease is not None and wanted - length > LEASE_TOLERANCE_S:
             # This very call has told that it is too short.
             return self._open_lease_of(wanted)
         return lease
@@ -382,7 +382,7 @@
         if not self._is_bound:
             return True
         wanted = self._lateness.choose_lease(now)
-        return abs(wanted - self._lease_length) > LEASE_STEP_S
+        return abs(wanted - self._lease_length) > LEASE_TOLERANCE_S
 
     def _check_key(self, owner: protocols.ElectedOwner) -> str:
         """Look whether the key is really gone though the lease runs."""
