--- a/src/rackvalve/manager/candidacy.py
+++ b/src/rackvalve/manager/candidacy.py
@@ -18,7 +18,7 @@
 
 # The owner is asked to hand over by a VM with so many times its processor.
 # Handing over costs half a second without starts; for less it is not worth it.
-WORTHWHILE = 1.5
+HANDOVER_CORES_RATIO = 1.5
 # How long the smallest VM waits before it takes a free ownership, in seconds:
 # a larger one needs three calls to the store, of 4 ms each.
 SMALLEST_WAIT_S = 0.25
@@ -110,7 +110,7 @@
     """
     if holder is None or held_for < SETTLED_S:
         return False
-    return standing.own >= WORTHWHILE * holder.cores
+    return standing.own >= HANDOVER_CORES_RATIO * holder.cores
 
 
 class Lateness:
