--- a/src/rackvalve/manager/candidacy.py
+++ b/src/rackvalve/manager/candidacy.py
@@ -21,7 +21,7 @@
 HANDOVER_CORES_RATIO = 1.5
 # How long the smallest VM waits before it takes a free ownership, in seconds:
 # a larger one needs three calls to the store, of 4 ms each.
-SMALLEST_WAIT_S = 0.25
+MAX_CANDIDACY_DELAY_S = 0.25
 # After an outage processes hear of the free ownership at different
 # times.  The owner before, which knows all, is left this long to go on, in
 # seconds: it asks every 0.65 s while the store is silent, and needs two more
@@ -96,7 +96,7 @@
     grace = max(0.0, RETURN_GRACE_S - since_return)
     if standing.most <= standing.own:
         return grace
-    return grace + SMALLEST_WAIT_S * (1 - standing.own / standing.most)
+    return grace + MAX_CANDIDACY_DELAY_S * (1 - standing.own / standing.most)
 
 
 def is_worth_asking(
