--- a/src/rackvalve/manager/candidacy.py
+++ b/src/rackvalve/manager/candidacy.py
@@ -26,7 +26,7 @@
 # times.  The owner before, which knows all, is left this long to go on, in
 # seconds: it asks every 0.65 s while the store is silent, and needs two more
 # calls.  A new owner would read all jobs and find all workers first.
-RETURN_GRACE_S = 0.7
+PREVIOUS_OWNER_GRACE_S = 0.7
 # An owner is asked to hand over only after this time, in seconds: until then
 # it may be loading, or about to hear of another request.
 SETTLED_S = 2.0
@@ -93,7 +93,7 @@
         outage, in seconds; infinity if there was none.
     :return: Time in seconds; 0 on the largest VM that was seen.
     """
-    grace = max(0.0, RETURN_GRACE_S - since_return)
+    grace = max(0.0, PREVIOUS_OWNER_GRACE_S - since_return)
     if standing.most <= standing.own:
         return grace
     return grace + MAX_CANDIDACY_DELAY_S * (1 - standing.own / standing.most)
