--- a/src/rackvalve/manager/candidacy.py
+++ b/src/rackvalve/manager/candidacy.py
@@ -29,7 +29,7 @@
 PREVIOUS_OWNER_GRACE_S = 0.7
 # An owner is asked to hand over only after this time, in seconds: until then
 # it may be loading, or about to hear of another request.
-SETTLED_S = 2.0
+MIN_OWNERSHIP_AGE_S = 2.0
 
 
 class Holder(msgspec.Struct, frozen=True, kw_only=True):
@@ -108,7 +108,7 @@
     :param holder: The present owner; ``None`` if it told nothing of itself.
     :param held_for: How long it has been seen as the owner, in seconds.
     """
-    if holder is None or held_for < SETTLED_S:
+    if holder is None or held_for < MIN_OWNERSHIP_AGE_S:
         return False
     return standing.own >= HANDOVER_CORES_RATIO * holder.cores
 
