--- a/features/steps/candidacy_steps.py
+++ b/features/steps/candidacy_steps.py
@@ -29,7 +29,7 @@
 
 @behave.then("it asks an owner of {cores:f} cores after {time:d} s: {answer}")
 def check_asking(context, cores, time, answer):
-    asks = candidacy.is_worth_asking(
+    asks = candidacy.should_request_handover(
         context.standing, make_holder(cores), float(time)
     )
     assert asks == (answer == "yes")
--- a/src/rackvalve/manager/candidacy.py
+++ b/src/rackvalve/manager/candidacy.py
@@ -99,7 +99,7 @@
     return grace + MAX_CANDIDACY_DELAY_S * (1 - standing.own / standing.most)
 
 
-def is_worth_asking(
+def should_request_handover(
     standing: Standing, holder: Holder | None, held_for: float
 ) -> bool:
     """Return whether a process should ask the owner to hand over.
--- a/src/rackvalve/manager/election.py
+++ b/src/rackvalve/manager/election.py
@@ -253,7 +253,9 @@
         assert item is not None
         holder = candidacy.read_holder(item.payload)
         held_for = clocks.read_steady() - self._held_since
-        if not candidacy.is_worth_asking(self._standing, holder, held_for):
+        if not candidacy.should_request_handover(
+            self._standing, holder, held_for
+        ):
             return
         request = self._request
         if request is not None and request.revision > item.created:
