--- a/features/steps/candidacy_steps.py
+++ b/features/steps/candidacy_steps.py
@@ -23,7 +23,7 @@
 
 @behave.then("it waits {wait:d} ms before it takes a free ownership")
 def check_wait(context, wait):
-    found = candidacy.count_wait(context.standing, float("inf"))
+    found = candidacy.compute_candidacy_delay(context.standing, float("inf"))
     assert round(found * 1000) == wait, found
 
 
--- a/features/steps/outage_steps.py
+++ b/features/steps/outage_steps.py
@@ -306,7 +306,7 @@
     "outage"
 )
 def check_grace(context, wait):
-    found = candidacy.count_wait(context.standing, 0.0)
+    found = candidacy.compute_candidacy_delay(context.standing, 0.0)
     assert round(found * 1000) == wait, found
 
 
@@ -314,7 +314,7 @@
     "{wait:d} ms before it takes one that is free {since:f} s after an outage"
 )
 def check_no_grace(context, wait, since):
-    found = candidacy.count_wait(context.standing, since)
+    found = candidacy.compute_candidacy_delay(context.standing, since)
     assert round(found * 1000) == wait, found
 
 
--- a/src/rackvalve/manager/candidacy.py
+++ b/src/rackvalve/manager/candidacy.py
@@ -85,7 +85,7 @@
         return Standing(own=self.own, most=holder.cores)
 
 
-def count_wait(standing: Standing, since_return: float) -> float:
+def compute_candidacy_delay(standing: Standing, since_return: float) -> float:
     """Return how long a process waits before it takes a free ownership.
 
     :param standing: The process's own VM and the others.
--- a/src/rackvalve/manager/election.py
+++ b/src/rackvalve/manager/election.py
@@ -288,7 +288,7 @@
         Larger VMs do, and after an outage the owner before.
         """
         since_return = clocks.read_steady() - self._returned
-        wait = candidacy.count_wait(self._standing, since_return)
+        wait = candidacy.compute_candidacy_delay(self._standing, since_return)
         gevent.sleep(wait + random.uniform(0, CANDIDACY_SPREAD_S))
         if self._holder is not None or self._resigned:
             return
