--- a/src/rackvalve/manager/candidacy.py
+++ b/src/rackvalve/manager/candidacy.py
@@ -113,7 +113,7 @@
     return standing.own >= HANDOVER_CORES_RATIO * holder.cores
 
 
-class Lateness:
+class DelayHistory:
     """How late this process has lately been.
 
     On a busy machine a process stands still for up to a second now and then,
--- a/src/rackvalve/manager/election.py
+++ b/src/rackvalve/manager/election.py
@@ -102,7 +102,7 @@
         self._lease_length = timing.MIN_OWNER_LEASE_S
         # Whether the key is known to end with that lease, and with no other.
         self._is_bound = True
-        self._lateness = candidacy.Lateness()
+        self._lateness = candidacy.DelayHistory()
         self._resigned = False
         self._tries = 0
 
