--- a/src/rackvalve/manager/candidacy.py
+++ b/src/rackvalve/manager/candidacy.py
@@ -139,7 +139,7 @@
         if late >= timing.MIN_DELAY_S:
             self._late.append((now, late))
 
-    def choose_lease(self, now: float) -> float:
+    def choose_lease_length(self, now: float) -> float:
         """Return how long the owner's lease should be, in seconds.
 
         :param now: Present time, in seconds.
--- a/src/rackvalve/manager/election.py
+++ b/src/rackvalve/manager/election.py
@@ -150,9 +150,9 @@
 
         :return: The lease; ``None`` if the store does not answer.
         """
-        length = self._lateness.choose_lease(clocks.read_steady())
+        length = self._lateness.choose_lease_length(clocks.read_steady())
         lease = self._open_lease_of(length)
-        wanted = self._lateness.choose_lease(clocks.read_steady())
+        wanted = self._lateness.choose_lease_length(clocks.read_steady())
         if lease is not None and wanted - length > LEASE_TOLERANCE_S:
             # This very call has told that it is too short.
             return self._open_lease_of(wanted)
@@ -383,7 +383,7 @@
         """Return whether the key needs another lease."""
         if not self._is_bound:
             return True
-        wanted = self._lateness.choose_lease(now)
+        wanted = self._lateness.choose_lease_length(now)
         return abs(wanted - self._lease_length) > LEASE_TOLERANCE_S
 
     def _check_key(self, owner: protocols.ElectedOwner) -> str:
