--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -62,7 +62,7 @@
         self.tokens = fences.Fences(fence)
         # Revision of its own newest commit.
         self.committed_revision = fence
-        lease = owners.INHERITED_LEASE_S if rules.proof else 0.0
+        lease = owners.MAX_INHERITED_LEASE_S if rules.proof else 0.0
         made = cores.make_cores(world.now, inherited_lease=lease)
         self.book, self.handler = made.book, made.handler
         self.planner = made.planner
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -43,7 +43,7 @@
 from rackvalve import telemetry as telemetries
 
 # What an earlier owner may have extended just before it lost its rights.
-INHERITED_LEASE_S = (
+MAX_INHERITED_LEASE_S = (
     timing.EXTENSION_LIMIT_S
     + timing.WORKER_LEASE_S * (1 + workers.CLOCK_TOLERANCE)
     + workers.LEASE_MARGIN_S
@@ -114,7 +114,9 @@
         self._wanted = event.Event()
         self._heard = clocks.read_steady()
         self._book = books.Book(
-            configuration, inherited_lease=INHERITED_LEASE_S, now=self._heard
+            configuration,
+            inherited_lease=MAX_INHERITED_LEASE_S,
+            now=self._heard,
         )
         self._handler = reports.Handler(
             self._book,
