--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -467,7 +467,7 @@
         for release in self._planner.stop_and_release(now, wall):
             self._reporter.log_release(release)
         self._reporter.log_held(now)
-        self._roster.forget_gone(now)
+        self._roster.forget_lost_workers(now)
         self._recorder.publish_waiting(now, wall, self._jobs.confirmed_at)
         self._recorder.collect(now, wall)
 
--- a/src/rackvalve/manager/roster.py
+++ b/src/rackvalve/manager/roster.py
@@ -170,7 +170,7 @@
         if later.identity not in self._contacts:
             self._open_contact(later, later.location)
 
-    def forget_gone(self, now: float) -> None:
+    def forget_lost_workers(self, now: float) -> None:
         """Forget workers that have left: no entry, no answer, no lease.
 
         :param now: Present time, in seconds.
