--- a/features/steps/caretaker_steps.py
+++ b/features/steps/caretaker_steps.py
@@ -13,9 +13,9 @@
 from features import job_models as models
 from features import vm_bench as vms
 from rackvalve.jobs import definition
-from rackvalve.manager import caretaker
 from rackvalve.manager import timing
 from rackvalve.manager import view
+from rackvalve.manager import vm_controller
 from rackvalve.platform import machines
 from rackvalve.platform import store as stores
 from rackvalve.scheduling import fleet
@@ -64,13 +64,13 @@
         raise gevent.GreenletExit
 
 
-def make_caretaker(context, jumps, answers):
+def make_controller(context, jumps, answers):
     clock = context.clock = {"now": 100.0}
     bench = context.bench = benches.Bench(["w0"])
     writer = FakeWriter(clock, jumps)
     context.machines = FakeMachines(answers, writer)
     context.read_steady = lambda: clock["now"]
-    context.caretaker = caretaker.Caretaker(
+    context.controller = vm_controller.VmController(
         context.machines,
         view.View(),
         bench.book,
@@ -87,40 +87,40 @@
     "an owner that is frozen for 5 seconds while the store answers it"
 )
 def freeze_owner(context):
-    make_caretaker(context, [5.0], [])
+    make_controller(context, [5.0], [])
 
 
 @behave.given("an owner whose order to a VM was answered 2 seconds ago")
 def order_earlier(context):
-    make_caretaker(context, [], [])
+    make_controller(context, [], [])
     with mock.patch.object(
-        caretaker.clocks, "read_steady", context.read_steady
+        vm_controller.clocks, "read_steady", context.read_steady
     ):
-        context.caretaker._order(
+        context.controller._order(
             "w0", lambda: context.machines.maintain("w0", 1, 7)
         )
         context.clock["now"] += 2.0
-        context.caretaker._ordered["w1"] = None
-        context.payload = context.caretaker._make_ordered().payload
+        context.controller._ordered["w1"] = None
+        context.payload = context.controller._make_ordered().payload
 
 
 @behave.when("another owner takes over, with a pause of 3 seconds")
 def take_over(context):
-    make_caretaker(context, [], [])
+    make_controller(context, [], [])
     item = stores.Item(
-        key=caretaker.ORDERS_KEY,
+        key=vm_controller.ORDERS_KEY,
         payload=context.payload,
         revision=1,
         created=1,
     )
     context.held = {}
     with mock.patch.object(
-        caretaker.clocks, "read_steady", context.read_steady
+        vm_controller.clocks, "read_steady", context.read_steady
     ):
-        context.caretaker.load((item,))
+        context.controller.load((item,))
         for tenths in range(40):
-            context.caretaker._release_held(context.clock["now"])
-            for vm in context.caretaker._upkeep.held:
+            context.controller._release_held(context.clock["now"])
+            for vm in context.controller._upkeep.held:
                 context.held[vm] = tenths / 10
             context.clock["now"] += 0.1
 
@@ -138,15 +138,15 @@
 @behave.given("an interface to VMs whose first 2 answers are lost")
 def lose_answers(context):
     lost = machines.Unavailable(reason="no answer in time")
-    make_caretaker(context, [], [lost, lost])
+    make_controller(context, [], [lost, lost])
 
 
 @behave.when("it gives an order to a VM")
 def give_order(context):
     with mock.patch.object(
-        caretaker.clocks, "read_steady", context.read_steady
+        vm_controller.clocks, "read_steady", context.read_steady
     ):
-        context.outcome = context.caretaker._order(
+        context.outcome = context.controller._order(
             "w0", lambda: context.machines.maintain("w0", 1, 7)
         )
 
@@ -186,14 +186,14 @@
 @behave.given("an owner that took a wave of 30 seconds 12 seconds ago")
 def take_wave(context):
     context.clocks = FakeClocks()
-    make_caretaker(context, [], [])
-    with mock.patch.object(caretaker, "clocks", context.clocks):
-        context.caretaker._view.waves[1] = WAVE
-        context.caretaker._take_waves()
+    make_controller(context, [], [])
+    with mock.patch.object(vm_controller, "clocks", context.clocks):
+        context.controller._view.waves[1] = WAVE
+        context.controller._take_waves()
         context.clocks.steady += 12.0
-        context.caretaker._writer = mock.Mock()
-        context.caretaker._record_waves()
-        rows = context.caretaker._writer.enqueue.call_args_list
+        context.controller._writer = mock.Mock()
+        context.controller._record_waves()
+        rows = context.controller._writer.enqueue.call_args_list
         context.payload = rows[0].args[1]().payload
 
 
@@ -201,30 +201,30 @@
     "another owner takes over 2 seconds later, by a clock that has {jumped}"
 )
 def take_over_wave(context, jumped):
-    make_caretaker(context, [], [])
+    make_controller(context, [], [])
     context.clocks.steady += 2.0
     context.clocks.jumped = JUMPS[jumped]
     item = stores.Item(
-        key=f"{caretaker.PREFIX}1",
+        key=f"{vm_controller.PREFIX}1",
         payload=context.payload,
         revision=1,
         created=1,
     )
-    with mock.patch.object(caretaker, "clocks", context.clocks):
-        context.caretaker._view.waves[1] = WAVE
-        context.caretaker.load((item,))
+    with mock.patch.object(vm_controller, "clocks", context.clocks):
+        context.controller._view.waves[1] = WAVE
+        context.controller.load((item,))
 
 
 @behave.then("the wave has {left:d} seconds left")
 def check_time_left(context, left):
-    state = context.caretaker._upkeep.waves[1]
+    state = context.controller._upkeep.waves[1]
     until = state.began + WAVE.duration
     assert until - context.clocks.steady == left, until
 
 
 @behave.given("an owner whose order to move a VM is on its way")
 def order_move(context):
-    make_caretaker(context, [], [])
+    make_controller(context, [], [])
     context.items = give_orders(context, "w0")
 
 
@@ -232,7 +232,7 @@
 def order_upkeep(context):
     # The record names no new pool, as that of the release before.
     item = stores.Item(
-        key=caretaker.ORDERS_KEY,
+        key=vm_controller.ORDERS_KEY,
         payload=b'{"w0": 0.0}',
         revision=1,
         created=1,
@@ -242,10 +242,10 @@
 
 def give_orders(context, vm):
     """Order a VM to move; return what is in the store at that time."""
-    care = context.caretaker
+    care = context.controller
     care._writer = writer = mock.Mock(number=0, durable=0)
     with mock.patch.object(
-        caretaker.clocks, "read_steady", context.read_steady
+        vm_controller.clocks, "read_steady", context.read_steady
     ):
         with contextlib.suppress(gevent.GreenletExit):
             care._move(sizing.MoveVm(vm=vm, pool=vms.OTHER))
@@ -258,13 +258,13 @@
 
 def take_over_moves(context):
     """Begin a new owner with the records of the one before."""
-    make_caretaker(context, [], [])
+    make_controller(context, [], [])
     vms.make_pools(context.bench.book, vms.OTHER)
     context.bench.add(definition.Step(tasks=1, cpu=1, lasting=True))
     with mock.patch.object(
-        caretaker.clocks, "read_steady", context.read_steady
+        vm_controller.clocks, "read_steady", context.read_steady
     ):
-        context.caretaker.load(context.items)
+        context.controller.load(context.items)
 
 
 def place_tasks(context, tenths, life="w0"):
@@ -275,13 +275,13 @@
         if context.bench.start_all():
             found.append(tenth)
         with mock.patch.object(
-            caretaker.clocks, "read_steady", context.read_steady
+            vm_controller.clocks, "read_steady", context.read_steady
         ):
             context.clock["now"] += 0.1
             context.bench.now += 0.1
-            context.caretaker._release_held(context.clock["now"])
-            context.caretaker._forget_ordered(context.clock["now"])
-            context.caretaker._step(context.clock["now"])
+            context.controller._release_held(context.clock["now"])
+            context.controller._forget_ordered(context.clock["now"])
+            context.controller._step(context.clock["now"])
     return found
 
 
@@ -334,12 +334,12 @@
     context.items = ()
     take_over_moves(context)
     context.machines.answers = [lost] * timing.VM_ORDER_ATTEMPTS
-    with mock.patch.object(caretaker.gevent, "sleep"):
+    with mock.patch.object(vm_controller.gevent, "sleep"):
         give_orders(context, "w0")
     context.tenths = place_tasks(context, 40)
 
 
 @behave.then("its own record names no VM any more")
 def check_record(context):
-    made = context.caretaker._writer.records[caretaker.ORDERS_KEY]()
+    made = context.controller._writer.records[vm_controller.ORDERS_KEY]()
     assert made.payload == b"{}", made.payload
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -15,11 +15,11 @@
 from rackvalve.jobs import definition
 from rackvalve.jobs import records
 from rackvalve.manager import admission
-from rackvalve.manager import caretaker as caretakers
 from rackvalve.manager import contact as contacts
 from rackvalve.manager import intake as intakes
 from rackvalve.manager import roster as rosters
 from rackvalve.manager import view as views
+from rackvalve.manager import vm_controller as vm_controllers
 from rackvalve.platform import advisers
 from rackvalve.platform import connections
 from rackvalve.platform import machines
@@ -57,8 +57,8 @@
     return stores.Item(key=key, payload=payload, revision=1, created=1)
 
 
-def make_caretaker(book):
-    return caretakers.Caretaker(
+def make_controller(book):
+    return vm_controllers.VmController(
         mock.Mock(),
         views.View(),
         book,
@@ -87,7 +87,7 @@
                     failed.append((row["payload"], "it is taken"))
                     continue
             else:
-                make_caretaker(bench.book).load((item,))
+                make_controller(bench.book).load((item,))
             _decide(bench)
         except Exception as error:
             failed.append((row["key"], repr(error)))
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -18,7 +18,6 @@
 from rackvalve.jobs import records
 from rackvalve import logs
 from rackvalve.manager import admission
-from rackvalve.manager import caretaker as caretakers
 from rackvalve.manager import election
 from rackvalve.manager import intake as intakes
 from rackvalve.manager import recorder as recorders
@@ -26,6 +25,7 @@
 from rackvalve.manager import roster as rosters
 from rackvalve.manager import timing
 from rackvalve.manager import view as views
+from rackvalve.manager import vm_controller as vm_controllers
 from rackvalve.manager import watcher as watchers
 from rackvalve.manager import writer as writers
 from rackvalve.platform import advisers
@@ -333,11 +333,11 @@
     def _run(self) -> None:
         watches = self._load()
         # Before anything is placed: on some VMs nothing may be.
-        caretaker = self._load_vms()
+        controller = self._load_vms()
         for watcher in watches:
             self._spawn(watcher.run)
         self._spawn(self._writer.run)
-        self._spawn(caretaker.run)
+        self._spawn(controller.run)
         self._spawn(
             admission.Admission(
                 self._resources.adviser,
@@ -406,8 +406,8 @@
                 return found.items
             gevent.sleep(timing.STORE_RETRY_DELAY_S)
 
-    def _load_vms(self) -> caretakers.Caretaker:
-        caretaker = caretakers.Caretaker(
+    def _load_vms(self) -> vm_controllers.VmController:
+        controller = vm_controllers.VmController(
             self._resources.machines,
             self._resources.view,
             self._book,
@@ -419,10 +419,10 @@
             on_change=self._wanted.set,
         )
         items: list[stores.Item] = []
-        for prefix in caretakers.PREFIXES:
+        for prefix in vm_controllers.PREFIXES:
             items.extend(self._read_all(prefix))
-        caretaker.load(tuple(items))
-        return caretaker
+        controller.load(tuple(items))
+        return controller
 
     def _note_store(self, sent: float) -> None:
         """Note that a commit under the ownership was answered.
--- a/src/rackvalve/manager/caretaker.py
+++ b/src/rackvalve/manager/vm_controller.py
@@ -60,7 +60,7 @@
         return self.elapsed + max(0.0, wall - self.written)
 
 
-class Caretaker:
+class VmController:
     """Gives orders to VMs for one owner.
 
     :param machines: The platform's interface to its VMs.
