--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -9,8 +9,8 @@
 
 from features import job_cores as cores
 from rackvalve import errors
-from rackvalve.manager import contact as contacts
 from rackvalve.manager import roster as rosters
+from rackvalve.manager import worker_session as worker_sessions
 from rackvalve.platform import connections
 from rackvalve.platform import documents
 from rackvalve.platform import store as stores
@@ -58,7 +58,7 @@
     text = json.dumps(GOOD).encode() if payload is None else payload
     item = stores.Item(key=KEY, payload=text, revision=1, created=1)
     changes = stores.Changes(written=(item,), removed=(), revision=1)
-    with mock.patch.object(contacts.Contact, "start"):
+    with mock.patch.object(worker_sessions.WorkerSession, "start"):
         context.roster.take_changes(changes)
 
 
@@ -71,7 +71,7 @@
 def check_unused(context):
     worker = context.book.workers["w1"]
     assert not worker.takes_work(NOW, 0.9)
-    assert context.roster.contact("w1") is not None
+    assert context.roster.find_session("w1") is not None
 
 
 @behave.when("its entry is good again")
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -15,11 +15,11 @@
 from rackvalve.jobs import definition
 from rackvalve.jobs import records
 from rackvalve.manager import admission
-from rackvalve.manager import contact as contacts
 from rackvalve.manager import intake as intakes
 from rackvalve.manager import roster as rosters
 from rackvalve.manager import view as views
 from rackvalve.manager import vm_controller as vm_controllers
+from rackvalve.manager import worker_session as worker_sessions
 from rackvalve.platform import advisers
 from rackvalve.platform import connections
 from rackvalve.platform import machines
@@ -158,13 +158,15 @@
     told = {"clock-ms": 482113, "born": 1771263913116}
     answer(rng, {**told, "running": rows[1:], "ended": ended})
     client = clients.Worker("127.0.0.1", 1, "w1", timeout=TIMEOUT_S)
-    contact = contacts.Contact(Hearer(bench), bench.book.workers["w1"], client)
+    session = worker_sessions.WorkerSession(
+        Hearer(bench), bench.book.workers["w1"], client
+    )
     for _ in range(2):
-        outcome = contact._hold()
+        outcome = session._hold()
         if isinstance(outcome, clients.Report):
-            contact._take_report(outcome)
+            session._take_report(outcome)
         else:
-            contact._take_outcome(outcome)
+            session._take_outcome(outcome)
     _decide(bench)
 
 
@@ -219,7 +221,7 @@
         },
     )
     roster = rosters.Roster(Hearer(bench), bench.book, on_change=lambda: None)
-    with mock.patch.object(rosters.contacts, "Contact"):
+    with mock.patch.object(rosters.worker_sessions, "WorkerSession"):
         roster.take_range((make_item("servers/w9", payload),))
     _decide(bench)
 
@@ -279,7 +281,7 @@
 def make_odd_clock(context):
     bench = _make_bench(["w1"])
     client = clients.Worker("127.0.0.1", 1, "w1", timeout=TIMEOUT_S)
-    context.contact = contacts.Contact(
+    context.session = worker_sessions.WorkerSession(
         Hearer(bench), bench.book.workers["w1"], client
     )
     context.clocks = ["1e308", "482113", "482114"]
@@ -293,9 +295,9 @@
         return connections.Answer(status=200, body=body.encode())
 
     with mock.patch.object(connections.HttpClient, "exchange", exchange):
-        outcomes = [context.contact._hold() for _ in range(2)]
-        context.contact._take_report(outcomes[1])
-        until = context.contact._lease_until()
+        outcomes = [context.session._hold() for _ in range(2)]
+        context.session._take_report(outcomes[1])
+        until = context.session._lease_until()
     kinds = [type(outcome) for outcome in outcomes]
     assert kinds == [connections.NoAnswer, clients.Report], outcomes
     assert until is not None and until < 1e6, until
--- a/features/steps/late_start_steps.py
+++ b/features/steps/late_start_steps.py
@@ -11,9 +11,9 @@
 from features import job_models as models
 from rackvalve.jobs import definition
 from rackvalve.jobs import progress
-from rackvalve.manager import contact as contacts
 from rackvalve.manager import roster as rosters
 from rackvalve.manager import timing
+from rackvalve.manager import worker_session as worker_sessions
 from rackvalve.platform import connections
 from rackvalve.platform import documents
 from rackvalve.platform import workers as clients
@@ -62,7 +62,7 @@
     "an owner that {may} extend leases, and a start that its worker found "
     "too late"
 )
-def make_contact(context, may):
+def make_session(context, may):
     bench = benches.Bench(["w1"])
     bench.add(definition.Step(tasks=1, cpu=1))
     bench.plan()
@@ -70,8 +70,10 @@
     worker = bench.book.workers["w1"]
     context.client = FakeClient()
     context.owner = FakeOwner(True)
-    context.contact = contacts.Contact(context.owner, worker, context.client)
-    context.contact._clock.note(50.0, 1000.0)
+    context.session = worker_sessions.WorkerSession(
+        context.owner, worker, context.client
+    )
+    context.session._clock.note(50.0, 1000.0)
     context.may = may == "may"
 
 
@@ -86,12 +88,14 @@
 
     context.pauses = []
     key = (f"{context.order.job}.{context.order.task}", context.order.run)
-    context.bench_placed = context.contact._worker.runs[key]
+    context.bench_placed = context.session._worker.runs[key]
     with (
-        mock.patch.object(contacts.gevent, "sleep", pause),
-        mock.patch.object(contacts.clocks, "read_steady", lambda: 1000.0),
+        mock.patch.object(worker_sessions.gevent, "sleep", pause),
+        mock.patch.object(
+            worker_sessions.clocks, "read_steady", lambda: 1000.0
+        ),
     ):
-        context.contact.start_run(context.order)
+        context.session.start_run(context.order)
 
 
 @behave.then("a new lease is asked for")
@@ -136,7 +140,7 @@
     context.order = order
 
 
-class FakeContact:
+class FakeSession:
     """Keeps what is sent."""
 
     def __init__(self, owner, worker, client):
@@ -166,7 +170,7 @@
     item = mock.Mock(key="k", payload=b"", revision=1)
     with (
         mock.patch.object(documents, "read_worker", lambda *_: entry),
-        mock.patch.object(contacts, "Contact", FakeContact),
+        mock.patch.object(worker_sessions, "WorkerSession", FakeSession),
     ):
         context.roster.take_changes(mock.Mock(written=(item,), removed=()))
 
@@ -174,8 +178,8 @@
 @behave.then("it is sent to the worker once its entry is there")
 def check_sent(context):
     add_entry(context)
-    contact = context.roster.contact(RUNNING_ON)
-    assert contact.sent == [context.order], contact.sent
+    session = context.roster.find_session(RUNNING_ON)
+    assert session.sent == [context.order], session.sent
 
 
 @behave.then("no such order is kept for a worker whose life is over")
@@ -185,7 +189,7 @@
     assert not context.roster.send(context.order)
     context.roster.end_life(RUNNING_ON, "its entry is gone")
     add_entry(context)
-    assert not context.roster.contact(RUNNING_ON).sent
+    assert not context.roster.find_session(RUNNING_ON).sent
 
 
 @behave.given("a worker whose clock is 2 % slow, read {seconds:g} s ago")
@@ -228,7 +232,7 @@
 
 @behave.when("it has no answer in time, and a report lists the run")
 def list_run(context):
-    run = context.contact._worker.runs[
+    run = context.session._worker.runs[
         f"{context.order.job}.{context.order.task}", context.order.run
     ].run
 
@@ -236,12 +240,12 @@
         assert not context.client.start.call_count > 1
         run.stage = progress.Stage.CONFIRMED
 
-    context.client = context.contact._client = mock.Mock()
+    context.client = context.session._client = mock.Mock()
     context.client.start.return_value = connections.NoAnswer(
         reason="no answer in time", sent=True
     )
-    with mock.patch.object(contacts.gevent, "sleep", report):
-        context.contact.start_run(context.order)
+    with mock.patch.object(worker_sessions.gevent, "sleep", report):
+        context.session.start_run(context.order)
 
 
 @behave.then("it was sent once")
@@ -252,15 +256,17 @@
 @behave.when("it has no answer for {seconds:d} s")
 def leave_unanswered(context, seconds):
     clock = iter(range(1000, 1000 + 100 * seconds))
-    context.client = context.contact._client = mock.Mock()
+    context.client = context.session._client = mock.Mock()
     context.client.start.return_value = connections.NoAnswer(
         reason="no answer in time", sent=True
     )
     with (
-        mock.patch.object(contacts.gevent, "sleep"),
-        mock.patch.object(contacts.clocks, "read_steady", clock.__next__),
+        mock.patch.object(worker_sessions.gevent, "sleep"),
+        mock.patch.object(
+            worker_sessions.clocks, "read_steady", clock.__next__
+        ),
     ):
-        context.contact.start_run(context.order)
+        context.session.start_run(context.order)
 
 
 @behave.then(
@@ -272,7 +278,7 @@
     context.owner.take_stop = mock.Mock()
     full = f"{context.order.job}.{context.order.task}"
     # No sender was started: a stop needs none.
-    context.contact.send(
+    context.session.send(
         messages.StopRun(
             worker="w1", task=full, run=context.order.run, reason=""
         )
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -9,8 +9,8 @@
 
 from features import job_bench as benches
 from features.steps import late_start_steps
-from rackvalve.manager import contact as contacts
 from rackvalve.manager import timing
+from rackvalve.manager import worker_session as worker_sessions
 from rackvalve.platform import connections
 from rackvalve.platform import workers as clients
 from rackvalve.scheduling import messages
@@ -58,11 +58,13 @@
 
 
 @behave.given("an owner that has just extended a worker's lease")
-def make_contact(context):
+def make_session(context):
     worker = benches.Bench(["w1"]).book.workers["w1"]
     context.client = SlowWorker()
-    context.contact = contacts.Contact(Owner(True), worker, context.client)
-    context.contact._clock.note(context.client.now, context.client.now)
+    context.session = worker_sessions.WorkerSession(
+        Owner(True), worker, context.client
+    )
+    context.session._clock.note(context.client.now, context.client.now)
 
 
 @behave.when("for 20 s each hold is answered 1.2 s later")
@@ -103,11 +105,11 @@
         return client.now
 
     with (
-        mock.patch.object(contacts.gevent, "sleep", pause),
-        mock.patch.object(contacts.clocks, "read_steady", read),
+        mock.patch.object(worker_sessions.gevent, "sleep", pause),
+        mock.patch.object(worker_sessions.clocks, "read_steady", read),
     ):
         try:
-            context.contact._hold_forever()
+            context.session._hold_forever()
         except _OverError:
             pass
 
@@ -125,7 +127,9 @@
         call.side_effect = TypeError("an odd document")
     worker = benches.Bench(["w1"]).book.workers["w1"]
     context.owner = mock.Mock(durable=0)
-    context.contact = contacts.Contact(context.owner, worker, context.client)
+    context.session = worker_sessions.WorkerSession(
+        context.owner, worker, context.client
+    )
 
 
 @behave.given("a contact whose owner fails at each report")
@@ -136,19 +140,21 @@
     worker = benches.Bench(["w1"]).book.workers["w1"]
     context.owner = mock.Mock(durable=0)
     context.owner.take_report.side_effect = KeyError("half changed")
-    context.contact = contacts.Contact(context.owner, worker, client)
+    context.session = worker_sessions.WorkerSession(
+        context.owner, worker, client
+    )
 
 
 @behave.when("it is started and told to stop a run")
 def start_and_stop(context):
-    context.contact.start()
-    context.contact.send(
+    context.session.start()
+    context.session.send(
         messages.StopRun(worker="w1", task="t", run=1, reason="")
     )
-    with mock.patch.object(contacts.logs, "write_failure") as told:
+    with mock.patch.object(worker_sessions.logs, "write_failure") as told:
         gevent.sleep(0.3)
     context.told = told.call_args_list
-    context.contact.close()
+    context.session.close()
 
 
 @behave.then("its owner stays, the failures are told, and each is tried again")
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -16,7 +16,7 @@
 from rackvalve.jobs import progress
 from rackvalve.jobs import records
 from rackvalve.manager import admission as admissions
-from rackvalve.manager import contact as contacts
+from rackvalve.manager import worker_session as worker_sessions
 from rackvalve.platform import advisers
 from rackvalve.platform import documents
 from rackvalve.platform import reports
@@ -302,8 +302,10 @@
     client.hold.return_value = clients.Rejected(
         clock=1.0, reason=clients.Reason.FENCED
     )
-    contact = contacts.Contact(context.owner, context.worker, client)
-    contact._take_outcome(contact._hold())
+    session = worker_sessions.WorkerSession(
+        context.owner, context.worker, client
+    )
+    session._take_outcome(session._hold())
 
 
 @behave.then("by that refusal the owner {does}")
--- a/src/rackvalve/manager/roster.py
+++ b/src/rackvalve/manager/roster.py
@@ -11,9 +11,9 @@
 from rackvalve.jobs import lives
 from rackvalve.jobs import progress
 from rackvalve import logs
-from rackvalve.manager import contact as contacts
 from rackvalve.manager import protocols
 from rackvalve.manager import timing
+from rackvalve.manager import worker_session as worker_sessions
 from rackvalve.platform import documents
 from rackvalve.platform import store as stores
 from rackvalve.platform import workers as clients
@@ -34,7 +34,7 @@
     :param on_change: Called after workers came, changed or went.
     """
 
-    __slots__ = ("_owner", "_book", "_on_change", "_contacts", "_early")
+    __slots__ = ("_owner", "_book", "_on_change", "_sessions", "_early")
 
     def __init__(
         self,
@@ -46,17 +46,19 @@
         self._owner = owner
         self._book = book
         self._on_change = on_change
-        self._contacts: dict[str, contacts.Contact] = {}
+        self._sessions: dict[str, worker_sessions.WorkerSession] = {}
         # Orders to stop runs on workers whose entries are not there yet: an
         # entry may be away for some seconds while its worker runs on.
         self._early: dict[str, list[messages.StopRun]] = {}
 
-    def contact(self, identity: str) -> contacts.Contact | None:
+    def find_session(
+        self, identity: str
+    ) -> worker_sessions.WorkerSession | None:
         """Return the contact with a worker.
 
         :param identity: The worker.
         """
-        return self._contacts.get(identity)
+        return self._sessions.get(identity)
 
     def send(self, order: messages.Order) -> bool:
         """Send an order to its worker; keep a stop until it has an entry.
@@ -64,9 +66,9 @@
         :param order: The order.
         :return: Whether there is a contact with the worker.
         """
-        contact = self._contacts.get(order.worker)
-        if contact is not None:
-            contact.send(order)
+        session = self._sessions.get(order.worker)
+        if session is not None:
+            session.send(order)
             return True
         if isinstance(order, messages.StopRun):
             self._early.setdefault(order.worker, []).append(order)
@@ -74,9 +76,9 @@
 
     def close(self) -> None:
         """End all contacts; what runs on workers runs on."""
-        for contact in self._contacts.values():
-            contact.close()
-        self._contacts.clear()
+        for session in self._sessions.values():
+            session.close()
+        self._sessions.clear()
 
     def take_range(self, items: tuple[stores.Item, ...]) -> None:
         """Take all entries, at first and after lost history.
@@ -144,10 +146,10 @@
         """
         self._early.pop(identity, None)
         self._owner.fences.forget(identity)
-        contact = self._contacts.pop(identity, None)
-        if contact is not None:
+        session = self._sessions.pop(identity, None)
+        if session is not None:
             # May be called by one of the contact's own greenlets.
-            gevent.spawn(contact.close)
+            gevent.spawn(session.close)
 
     def follow(self, worker: workers.WorkerState, born: int) -> None:
         """Ask the life that answers in place of another one.
@@ -167,8 +169,8 @@
             runs=len(worker.runs),
         )
         self.forget(worker.identity)
-        if later.identity not in self._contacts:
-            self._open_contact(later, later.location)
+        if later.identity not in self._sessions:
+            self._open_session(later, later.location)
 
     def forget_lost_workers(self, now: float) -> None:
         """Forget workers that have left: no entry, no answer, no lease.
@@ -197,7 +199,7 @@
         for identity, worker in self._book.workers.items():
             if worker.entry is not None or worker.location is None:
                 continue
-            if identity in self._contacts:
+            if identity in self._sessions:
                 continue
             if worker.gone_since is None:
                 worker.gone_since = now
@@ -207,11 +209,11 @@
                 on_vm=worker.location.vm,
                 runs=len(worker.runs),
             )
-            self._open_contact(worker, worker.location)
+            self._open_session(worker, worker.location)
 
-    def _open_contact(
+    def _open_session(
         self, worker: workers.WorkerState, location: progress.Location
-    ) -> contacts.Contact:
+    ) -> worker_sessions.WorkerSession:
         """Begin to ask a worker.
 
         :param worker: The worker.
@@ -228,10 +230,10 @@
             self._owner.fences.raise_for(
                 worker, self._owner.committed_revision
             )
-        contact = contacts.Contact(self._owner, worker, client)
-        self._contacts[worker.identity] = contact
-        contact.start()
-        return contact
+        session = worker_sessions.WorkerSession(self._owner, worker, client)
+        self._sessions[worker.identity] = session
+        session.start()
+        return session
 
     def _take(self, item: stores.Item) -> None:
         try:
@@ -249,10 +251,10 @@
         worker = self._book.set_entry(entry)
         name = worker.life.worker
         self._book.remove_entry(name, clocks.read_steady(), besides=worker)
-        if worker.identity not in self._contacts:
-            contact = self._open_contact(worker, entry.location)
+        if worker.identity not in self._sessions:
+            session = self._open_session(worker, entry.location)
             for order in self._early.pop(worker.identity, []):
-                contact.send(order)
+                session.send(order)
 
     def _log(self, entry: fleet.Entry, revision: int) -> None:
         known = self._book.workers.get(entry.identity)
--- a/src/rackvalve/manager/contact.py
+++ b/src/rackvalve/manager/worker_session.py
@@ -34,7 +34,7 @@
 STRAY_TRIES = 3
 
 
-class Contact:
+class WorkerSession:
     """Holds one worker and sends it orders, until it is closed.
 
     :param owner: Whom to tell what the worker says.
@@ -392,20 +392,20 @@
 
 
 @functools.singledispatch
-def _send_order(order: object, contact: Contact) -> None:
+def _send_order(order: object, session: WorkerSession) -> None:
     """Send one order.
 
     :param order: The order.
-    :param contact: Traffic with the worker.
+    :param session: Traffic with the worker.
     """
     raise TypeError(f"no sender for {order!r}")
 
 
 @_send_order.register
-def _(order: messages.StartRun, contact: Contact) -> None:
-    contact.start_run(order)
+def _(order: messages.StartRun, session: WorkerSession) -> None:
+    session.start_run(order)
 
 
 @_send_order.register
-def _(order: messages.SetPace, contact: Contact) -> None:
-    contact.set_pace(order)
+def _(order: messages.SetPace, session: WorkerSession) -> None:
+    session.set_pace(order)
