--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -9,7 +9,7 @@
 
 from features import job_cores as cores
 from rackvalve import errors
-from rackvalve.manager import roster as rosters
+from rackvalve.manager import worker_registry as worker_registries
 from rackvalve.manager import worker_session as worker_sessions
 from rackvalve.platform import connections
 from rackvalve.platform import documents
@@ -45,7 +45,7 @@
 @behave.given("a worker with a good entry that has just answered")
 def make_worker(context):
     context.book = cores.make_cores(NOW, inherited_lease=5.0).book
-    context.roster = rosters.Roster(
+    context.registry = worker_registries.WorkerRegistry(
         mock.Mock(), context.book, on_change=lambda: None
     )
     write_entry(context)
@@ -59,7 +59,7 @@
     item = stores.Item(key=KEY, payload=text, revision=1, created=1)
     changes = stores.Changes(written=(item,), removed=(), revision=1)
     with mock.patch.object(worker_sessions.WorkerSession, "start"):
-        context.roster.take_changes(changes)
+        context.registry.take_changes(changes)
 
 
 @behave.when("its entry turns unreadable")
@@ -71,7 +71,7 @@
 def check_unused(context):
     worker = context.book.workers["w1"]
     assert not worker.takes_work(NOW, 0.9)
-    assert context.roster.find_session("w1") is not None
+    assert context.registry.find_session("w1") is not None
 
 
 @behave.when("its entry is good again")
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -16,9 +16,9 @@
 from rackvalve.jobs import records
 from rackvalve.manager import admission
 from rackvalve.manager import intake as intakes
-from rackvalve.manager import roster as rosters
 from rackvalve.manager import view as views
 from rackvalve.manager import vm_controller as vm_controllers
+from rackvalve.manager import worker_registry as worker_registries
 from rackvalve.manager import worker_session as worker_sessions
 from rackvalve.platform import advisers
 from rackvalve.platform import connections
@@ -220,9 +220,11 @@
             "born": 1771263913116,
         },
     )
-    roster = rosters.Roster(Hearer(bench), bench.book, on_change=lambda: None)
-    with mock.patch.object(rosters.worker_sessions, "WorkerSession"):
-        roster.take_range((make_item("servers/w9", payload),))
+    registry = worker_registries.WorkerRegistry(
+        Hearer(bench), bench.book, on_change=lambda: None
+    )
+    with mock.patch.object(worker_registries.worker_sessions, "WorkerSession"):
+        registry.take_range((make_item("servers/w9", payload),))
     _decide(bench)
 
 
--- a/features/steps/late_start_steps.py
+++ b/features/steps/late_start_steps.py
@@ -11,8 +11,8 @@
 from features import job_models as models
 from rackvalve.jobs import definition
 from rackvalve.jobs import progress
-from rackvalve.manager import roster as rosters
 from rackvalve.manager import timing
+from rackvalve.manager import worker_registry as worker_registries
 from rackvalve.manager import worker_session as worker_sessions
 from rackvalve.platform import connections
 from rackvalve.platform import documents
@@ -127,7 +127,7 @@
     book = context.bench.book
     book.add_job(state, context.bench.now, context.bench.now)
     book.cancel_job(benches.IDENTITY, context.bench.now)
-    context.roster = rosters.Roster(
+    context.registry = worker_registries.WorkerRegistry(
         FakeOwner(True), book, on_change=lambda: None
     )
 
@@ -136,7 +136,7 @@
 def send_early(context):
     (order,) = context.bench.stops()
     assert order.worker == RUNNING_ON, order
-    assert not context.roster.send(order)
+    assert not context.registry.send(order)
     context.order = order
 
 
@@ -172,24 +172,24 @@
         mock.patch.object(documents, "read_worker", lambda *_: entry),
         mock.patch.object(worker_sessions, "WorkerSession", FakeSession),
     ):
-        context.roster.take_changes(mock.Mock(written=(item,), removed=()))
+        context.registry.take_changes(mock.Mock(written=(item,), removed=()))
 
 
 @behave.then("it is sent to the worker once its entry is there")
 def check_sent(context):
     add_entry(context)
-    session = context.roster.find_session(RUNNING_ON)
+    session = context.registry.find_session(RUNNING_ON)
     assert session.sent == [context.order], session.sent
 
 
 @behave.then("no such order is kept for a worker whose life is over")
 def check_dropped(context):
-    context.roster.end_life(RUNNING_ON, "another life answers")
+    context.registry.end_life(RUNNING_ON, "another life answers")
     context.bench.book.orders.clear()
-    assert not context.roster.send(context.order)
-    context.roster.end_life(RUNNING_ON, "its entry is gone")
+    assert not context.registry.send(context.order)
+    context.registry.end_life(RUNNING_ON, "its entry is gone")
     add_entry(context)
-    assert not context.roster.find_session(RUNNING_ON).sent
+    assert not context.registry.find_session(RUNNING_ON).sent
 
 
 @behave.given("a worker whose clock is 2 % slow, read {seconds:g} s ago")
--- a/features/steps/standing_steps.py
+++ b/features/steps/standing_steps.py
@@ -339,8 +339,8 @@
 
 @behave.when("another life answers in its place")
 def answer_other(context):
-    roster = mock.Mock(end_life=context.bench.end_life)
-    owner = mock.Mock(_book=context.bench.book, _roster=roster)
+    registry = mock.Mock(end_life=context.bench.end_life)
+    owner = mock.Mock(_book=context.bench.book, _registry=registry)
     with mock.patch.object(logs, "write_event") as written:
         owner._reporter = make_reporter(context)
         owners.Owner.end_life(
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -22,11 +22,11 @@
 from rackvalve.manager import intake as intakes
 from rackvalve.manager import recorder as recorders
 from rackvalve.manager import reporter as reporters
-from rackvalve.manager import roster as rosters
 from rackvalve.manager import timing
 from rackvalve.manager import view as views
 from rackvalve.manager import vm_controller as vm_controllers
 from rackvalve.manager import watcher as watchers
+from rackvalve.manager import worker_registry as worker_registries
 from rackvalve.manager import writer as writers
 from rackvalve.platform import advisers
 from rackvalve.platform import documents
@@ -136,7 +136,7 @@
             self._book, self._handler, self._planner, resources.telemetry
         )
         self.fences = fences.Fences(fence)
-        self._roster = rosters.Roster(
+        self._registry = worker_registries.WorkerRegistry(
             self, self._book, on_change=self._wanted.set
         )
         # Follows what callers hand in and cancel, once it is loaded.
@@ -183,7 +183,7 @@
         :param reason: Why, for logs.
         """
         self.deposed = self.deposed or reason
-        self._roster.close()
+        self._registry.close()
         self._reporter.close()
         current = gevent.getcurrent()
         others = [green for green in self._greenlets if green is not current]
@@ -293,7 +293,7 @@
     def _forget_lives(self) -> None:
         """Have nothing more to do with lives that later ones have ended."""
         for release in self._handler.released:
-            self._roster.forget(release.worker)
+            self._registry.forget(release.worker)
             self._reporter.log_release(release)
         self._handler.released.clear()
 
@@ -304,7 +304,7 @@
         :param born: When the later one began, in milliseconds since 1970.
         """
         if not self.deposed:
-            self._roster.follow(worker, born)
+            self._registry.follow(worker, born)
 
     def end_life(self, identity: str, reason: str) -> None:
         """Forget a worker whose life is over.
@@ -312,7 +312,7 @@
         :param identity: The worker.
         :param reason: What proves it.
         """
-        release = self._roster.end_life(identity, reason)
+        release = self._registry.end_life(identity, reason)
         if release is not None:
             self._reporter.log_release(release)
 
@@ -368,8 +368,8 @@
             self._jobs,
             self._watch(
                 documents.WORKER_PREFIX,
-                self._roster.take_range,
-                self._roster.take_changes,
+                self._registry.take_range,
+                self._registry.take_changes,
             ),
         ]
         for watcher in watches:
@@ -467,14 +467,14 @@
         for release in self._planner.stop_and_release(now, wall):
             self._reporter.log_release(release)
         self._reporter.log_held(now)
-        self._roster.forget_lost_workers(now)
+        self._registry.forget_lost_workers(now)
         self._recorder.publish_waiting(now, wall, self._jobs.confirmed_at)
         self._recorder.collect(now, wall)
 
     def _send_orders(self) -> None:
         while self._book.orders:
             order = self._book.orders.popleft()
-            if self._roster.send(order):
+            if self._registry.send(order):
                 self._reporter.log_order(order)
                 continue
             # A start is freed by its lease's end only; a stop is kept.
--- a/src/rackvalve/manager/roster.py
+++ b/src/rackvalve/manager/worker_registry.py
@@ -26,7 +26,7 @@
 from rackvalve.scheduling import workers
 
 
-class Roster:
+class WorkerRegistry:
     """The workers of one owner.
 
     :param owner: Whom contacts tell what workers say.
