--- a/features/steps/outage_steps.py
+++ b/features/steps/outage_steps.py
@@ -188,7 +188,7 @@
     def stop(self, reason):
         self.stopped = reason
 
-    def note_contact(self, now):
+    def note_confirmation(self, now):
         pass
 
 
--- a/src/rackvalve/manager/election.py
+++ b/src/rackvalve/manager/election.py
@@ -372,7 +372,7 @@
             return self._hold_again(owner, known=0)
         if self._is_bound:
             # Else the lease may run though the key has ended.
-            owner.note_contact(began)
+            owner.note_confirmation(began)
         if self._holder is None and self._known:
             return self._check_key(owner)
         if self._holder is not None and self._is_lease_unfit(now):
@@ -423,7 +423,7 @@
                 self._store.end_lease(lease.identity)
                 return ""
             self._take_lease(lease)
-            owner.note_contact(began)
+            owner.note_confirmation(began)
             logs.write_event(
                 "ownership.kept",
                 fence=owner.fence,
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -200,7 +200,7 @@
             )
         self.deposed = self.deposed or reason
 
-    def note_contact(self, now: float) -> None:
+    def note_confirmation(self, now: float) -> None:
         """Note that the store knew this process as the owner.
 
         :param now: When the call that told so was sent, in seconds: the next
@@ -429,7 +429,7 @@
 
         :param sent: When it was sent, in seconds.
         """
-        self.note_contact(sent)
+        self.note_confirmation(sent)
         self._resources.on_contact()
 
     def _note_intake(self) -> None:
--- a/src/rackvalve/manager/protocols.py
+++ b/src/rackvalve/manager/protocols.py
@@ -28,7 +28,7 @@
         :param reason: Why, for logs.
         """
 
-    def note_contact(self, now: float) -> None:
+    def note_confirmation(self, now: float) -> None:
         """Note that the store knew this process as the owner.
 
         :param now: When the call that told so was sent, in seconds.
