--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -59,7 +59,7 @@
     item = stores.Item(key=KEY, payload=text, revision=1, created=1)
     changes = stores.Changes(written=(item,), removed=(), revision=1)
     with mock.patch.object(worker_sessions.WorkerSession, "start"):
-        context.registry.take_changes(changes)
+        context.registry.apply_changes(changes)
 
 
 @behave.when("its entry turns unreadable")
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -224,7 +224,7 @@
         Hearer(bench), bench.book, on_change=lambda: None
     )
     with mock.patch.object(worker_registries.worker_sessions, "WorkerSession"):
-        registry.take_range((make_item("servers/w9", payload),))
+        registry.apply_range((make_item("servers/w9", payload),))
     _decide(bench)
 
 
--- a/features/steps/late_start_steps.py
+++ b/features/steps/late_start_steps.py
@@ -172,7 +172,7 @@
         mock.patch.object(documents, "read_worker", lambda *_: entry),
         mock.patch.object(worker_sessions, "WorkerSession", FakeSession),
     ):
-        context.registry.take_changes(mock.Mock(written=(item,), removed=()))
+        context.registry.apply_changes(mock.Mock(written=(item,), removed=()))
 
 
 @behave.then("it is sent to the worker once its entry is there")
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -368,8 +368,8 @@
             self._jobs,
             self._watch(
                 documents.WORKER_PREFIX,
-                self._registry.take_range,
-                self._registry.take_changes,
+                self._registry.apply_range,
+                self._registry.apply_changes,
             ),
         ]
         for watcher in watches:
--- a/src/rackvalve/manager/worker_registry.py
+++ b/src/rackvalve/manager/worker_registry.py
@@ -80,7 +80,7 @@
             session.close()
         self._sessions.clear()
 
-    def take_range(self, items: tuple[stores.Item, ...]) -> None:
+    def apply_range(self, items: tuple[stores.Item, ...]) -> None:
         """Take all entries, at first and after lost history.
 
         :param items: All entries.
@@ -97,7 +97,7 @@
         self._ask_recorded(now)
         self._on_change()
 
-    def take_changes(self, changes: stores.Changes) -> None:
+    def apply_changes(self, changes: stores.Changes) -> None:
         """Take entries that were just written or removed.
 
         :param changes: The changes.
