--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -137,7 +137,7 @@
     def follow(self, worker, born):
         succession.note_replaced(self.bench.book, worker, born, self.bench.now)
 
-    def take_report(self, worker, report, now):
+    def apply_report(self, worker, report, now):
         self.bench.handler.take(worker, report, now=now, wall=now)
 
 
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -53,7 +53,7 @@
 class Owner(late_start_steps.FakeOwner):
     """An owner that hears reports."""
 
-    def take_report(self, worker, report, now):
+    def apply_report(self, worker, report, now):
         worker.answered = now
 
 
@@ -139,7 +139,7 @@
     client.stop.return_value = clients.Done(clock=1.0)
     worker = benches.Bench(["w1"]).book.workers["w1"]
     context.owner = mock.Mock(durable=0)
-    context.owner.take_report.side_effect = KeyError("half changed")
+    context.owner.apply_report.side_effect = KeyError("half changed")
     context.session = worker_sessions.WorkerSession(
         context.owner, worker, client
     )
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -220,7 +220,7 @@
 
     # -- told by contacts --------------------------------------------------
 
-    def take_report(
+    def apply_report(
         self, worker: workers.WorkerState, report: messages.Report, now: float
     ) -> None:
         """Apply a worker's report.
--- a/src/rackvalve/manager/protocols.py
+++ b/src/rackvalve/manager/protocols.py
@@ -69,7 +69,7 @@
         :param reason: How that was learned.
         """
 
-    def take_report(
+    def apply_report(
         self, worker: workers.WorkerState, report: messages.Report, now: float
     ) -> None:
         """Apply a worker's report.
--- a/src/rackvalve/manager/worker_session.py
+++ b/src/rackvalve/manager/worker_session.py
@@ -182,7 +182,7 @@
                 dependency="worker",
                 worker=self._worker.identity,
             )
-        self._owner.take_report(
+        self._owner.apply_report(
             self._worker,
             messages.Report(
                 sent=self._sent,
