--- a/features/steps/late_start_steps.py
+++ b/features/steps/late_start_steps.py
@@ -39,7 +39,7 @@
     def may_extend(self, now):
         return self.allowed
 
-    def take_start(self, placed, result, uncertain):
+    def apply_start_result(self, placed, result, uncertain):
         self.results.append(result)
 
 
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -251,7 +251,7 @@
         worker.note_write(self._writer.number)
         self._wanted.set()
 
-    def take_start(
+    def apply_start_result(
         self,
         placed: workers.Placed,
         result: messages.StartResult,
--- a/src/rackvalve/manager/protocols.py
+++ b/src/rackvalve/manager/protocols.py
@@ -79,7 +79,7 @@
         :param now: Present time, in seconds.
         """
 
-    def take_start(
+    def apply_start_result(
         self,
         placed: workers.Placed,
         result: messages.StartResult,
--- a/src/rackvalve/manager/worker_session.py
+++ b/src/rackvalve/manager/worker_session.py
@@ -262,13 +262,13 @@
             outcome = self._try_start(placed, until)
             result = self._judge_start(outcome, uncertain)
             if result is not None:
-                self._owner.take_start(placed, result, uncertain)
+                self._owner.apply_start_result(placed, result, uncertain)
                 return
             if isinstance(outcome, connections.NoAnswer) and outcome.sent:
                 uncertain = True
             if uncertain and self._is_given_up(began):
                 unwell = messages.StartResult.UNWELL
-                self._owner.take_start(placed, unwell, uncertain)
+                self._owner.apply_start_result(placed, unwell, uncertain)
                 return
             if isinstance(outcome, clients.Rejected):
                 # Its lease is over on the worker's clock; ask for a new one.
