--- a/features/steps/late_start_steps.py
+++ b/features/steps/late_start_steps.py
@@ -275,7 +275,7 @@
 def check_sealed(context):
     assert context.owner.results == [messages.StartResult.UNWELL]
     context.client.stop.return_value = clients.Done(clock=100.0)
-    context.owner.take_stop = mock.Mock()
+    context.owner.confirm_stop = mock.Mock()
     full = f"{context.order.job}.{context.order.task}"
     # No sender was started: a stop needs none.
     context.session.send(
@@ -284,4 +284,4 @@
         )
     )
     gevent.sleep(0.01)
-    context.owner.take_stop.assert_called_once()
+    context.owner.confirm_stop.assert_called_once()
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -282,7 +282,7 @@
         self._reporter.log_begun()
         self._wanted.set()
 
-    def take_stop(self, worker: str, key: workers.RunKey) -> None:
+    def confirm_stop(self, worker: str, key: workers.RunKey) -> None:
         """Note that a worker has taken an order to stop a run.
 
         :param worker: Identity of the worker.
--- a/src/rackvalve/manager/protocols.py
+++ b/src/rackvalve/manager/protocols.py
@@ -92,7 +92,7 @@
         :param uncertain: Whether an earlier try may still be carried out.
         """
 
-    def take_stop(self, worker: str, key: workers.RunKey) -> None:
+    def confirm_stop(self, worker: str, key: workers.RunKey) -> None:
         """Note that a worker has taken an order to stop a run.
 
         :param worker: Identity of the worker.
--- a/src/rackvalve/manager/worker_session.py
+++ b/src/rackvalve/manager/worker_session.py
@@ -349,7 +349,7 @@
                 run=order.run,
             )
             if isinstance(outcome, clients.Done):
-                self._owner.take_stop(self._worker.identity, key)
+                self._owner.confirm_stop(self._worker.identity, key)
                 return
             if isinstance(outcome, clients.Malformed):
                 return
