--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -131,7 +131,7 @@
     def depose(self, reason):
         self.deposed = reason
 
-    def end_life(self, identity, reason):
+    def end_incarnation(self, identity, reason):
         self.bench.end_life(identity, reason)
 
     def follow(self, worker, born):
--- a/features/steps/late_start_steps.py
+++ b/features/steps/late_start_steps.py
@@ -184,10 +184,10 @@
 
 @behave.then("no such order is kept for a worker whose life is over")
 def check_dropped(context):
-    context.registry.end_life(RUNNING_ON, "another life answers")
+    context.registry.end_incarnation(RUNNING_ON, "another life answers")
     context.bench.book.orders.clear()
     assert not context.registry.send(context.order)
-    context.registry.end_life(RUNNING_ON, "its entry is gone")
+    context.registry.end_incarnation(RUNNING_ON, "its entry is gone")
     add_entry(context)
     assert not context.registry.find_session(RUNNING_ON).sent
 
--- a/features/steps/standing_steps.py
+++ b/features/steps/standing_steps.py
@@ -339,11 +339,11 @@
 
 @behave.when("another life answers in its place")
 def answer_other(context):
-    registry = mock.Mock(end_life=context.bench.end_life)
+    registry = mock.Mock(end_incarnation=context.bench.end_life)
     owner = mock.Mock(_book=context.bench.book, _registry=registry)
     with mock.patch.object(logs, "write_event") as written:
         owner._reporter = make_reporter(context)
-        owners.Owner.end_life(
+        owners.Owner.end_incarnation(
             owner, context.order.worker, "another life answers"
         )
     context.lines = written.call_args_list
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -306,13 +306,13 @@
         if not self.deposed:
             self._registry.follow(worker, born)
 
-    def end_life(self, identity: str, reason: str) -> None:
+    def end_incarnation(self, identity: str, reason: str) -> None:
         """Forget a worker whose life is over.
 
         :param identity: The worker.
         :param reason: What proves it.
         """
-        release = self._registry.end_life(identity, reason)
+        release = self._registry.end_incarnation(identity, reason)
         if release is not None:
             self._reporter.log_release(release)
 
--- a/src/rackvalve/manager/protocols.py
+++ b/src/rackvalve/manager/protocols.py
@@ -106,7 +106,7 @@
         :param born: When the later one began, in milliseconds since 1970.
         """
 
-    def end_life(self, identity: str, reason: str) -> None:
+    def end_incarnation(self, identity: str, reason: str) -> None:
         """Forget a worker whose life is over.
 
         :param identity: The worker.
--- a/src/rackvalve/manager/worker_registry.py
+++ b/src/rackvalve/manager/worker_registry.py
@@ -111,7 +111,9 @@
                 self._book.remove_entry(documents.worker_of(key), now)
         self._on_change()
 
-    def end_life(self, identity: str, reason: str) -> releases.Release | None:
+    def end_incarnation(
+        self, identity: str, reason: str
+    ) -> releases.Release | None:
         """Forget a worker whose life is over.
 
         :param identity: The worker.
@@ -186,7 +188,9 @@
                 and now - worker.answered > timing.ENTRY_GRACE_S
             )
             if worker.entry is None or worker.replaced or is_missing:
-                self.end_life(identity, "its entry is gone, it is silent")
+                self.end_incarnation(
+                    identity, "its entry is gone, it is silent"
+                )
 
     def _ask_recorded(self, now: float) -> None:
         """Open contacts with workers that only jobs' records name.
--- a/src/rackvalve/manager/worker_session.py
+++ b/src/rackvalve/manager/worker_session.py
@@ -228,7 +228,9 @@
     def _leave_life(self, other: clients.OtherLife) -> None:
         """Have the owner turn to the life that answers instead."""
         if other.clock is None:
-            self._owner.end_life(self._worker.identity, "another life answers")
+            self._owner.end_incarnation(
+                self._worker.identity, "another life answers"
+            )
             return
         born = other.born
         if born is None:
