--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -134,7 +134,7 @@
     def end_incarnation(self, identity, reason):
         self.bench.end_life(identity, reason)
 
-    def follow(self, worker, born):
+    def switch_incarnation(self, worker, born):
         succession.note_replaced(self.bench.book, worker, born, self.bench.now)
 
     def apply_report(self, worker, report, now):
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -297,14 +297,16 @@
             self._reporter.log_release(release)
         self._handler.released.clear()
 
-    def follow(self, worker: workers.WorkerState, born: int) -> None:
+    def switch_incarnation(
+        self, worker: workers.WorkerState, born: int
+    ) -> None:
         """Turn to the life that answers in place of an earlier one.
 
         :param worker: The earlier one.
         :param born: When the later one began, in milliseconds since 1970.
         """
         if not self.deposed:
-            self._registry.follow(worker, born)
+            self._registry.switch_incarnation(worker, born)
 
     def end_incarnation(self, identity: str, reason: str) -> None:
         """Forget a worker whose life is over.
--- a/src/rackvalve/manager/protocols.py
+++ b/src/rackvalve/manager/protocols.py
@@ -99,7 +99,9 @@
         :param key: Full name of the task and number of the run.
         """
 
-    def follow(self, worker: workers.WorkerState, born: int) -> None:
+    def switch_incarnation(
+        self, worker: workers.WorkerState, born: int
+    ) -> None:
         """Turn to the life that answers in place of an earlier one.
 
         :param worker: The earlier one.
--- a/src/rackvalve/manager/worker_registry.py
+++ b/src/rackvalve/manager/worker_registry.py
@@ -153,7 +153,9 @@
             # May be called by one of the contact's own greenlets.
             gevent.spawn(session.close)
 
-    def follow(self, worker: workers.WorkerState, born: int) -> None:
+    def switch_incarnation(
+        self, worker: workers.WorkerState, born: int
+    ) -> None:
         """Ask the life that answers in place of another one.
 
         :param worker: The earlier one.
--- a/src/rackvalve/manager/worker_session.py
+++ b/src/rackvalve/manager/worker_session.py
@@ -239,7 +239,7 @@
         if not self._worker.established:
             # Even one that tells another birth each time costs few calls.
             gevent.sleep(timing.ORDER_RETRY_DELAY_S)
-        self._owner.follow(self._worker, born)
+        self._owner.switch_incarnation(self._worker, born)
 
     def _send_forever(self) -> None:
         while True:
