--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class Rules:
+class Durations:
     """Times from the settings.
 
     :param keep: How long ended jobs are kept, in seconds.
@@ -93,7 +93,7 @@
     """Schedules all pools while it holds the ownership.
 
     :param resources: What it uses.
-    :param rules: Times from the settings.
+    :param durations: Times from the settings.
     :param configuration: The operator's configuration.
     :param fence: Fencing token.
     """
@@ -101,12 +101,12 @@
     def __init__(
         self,
         resources: Resources,
-        rules: Rules,
+        durations: Durations,
         configuration: queues.Configuration,
         fence: int,
     ) -> None:
         self._resources = resources
-        self._rules = rules
+        self._durations = durations
         self._telemetry = resources.telemetry
         self.fence = fence
         self.deposed = ""
@@ -121,7 +121,7 @@
         self._handler = reports.Handler(
             self._book,
             lease=timing.WORKER_LEASE_S,
-            settling=rules.stop_time + timing.STOP_MARGIN_S,
+            settling=durations.stop_time + timing.STOP_MARGIN_S,
             hold_wait=timing.HOLD_WAIT_S,
             hold_most=timing.MAX_HOLD_S,
         )
@@ -152,7 +152,7 @@
             self._book,
             self._writer,
             resources.telemetry,
-            keep=rules.keep,
+            keep=durations.keep,
             on_recorded=self._send_orders,
         )
 
@@ -243,7 +243,7 @@
                 ended=len(report.ended),
             )
         self._book.orders.extend(
-            sharing.set_paces(worker, now, self._rules.pace_interval)
+            sharing.set_paces(worker, now, self._durations.pace_interval)
         )
         self._reporter.log_begun()
         self._reporter.log_ends()
@@ -416,7 +416,7 @@
             self._writer,
             self.fence,
             telemetry=self._telemetry,
-            order_pause=self._rules.order_pause,
+            order_pause=self._durations.order_pause,
             spawn=self._spawn,
             on_change=self._wanted.set,
         )
--- a/src/rackvalve/manager/program.py
+++ b/src/rackvalve/manager/program.py
@@ -148,7 +148,7 @@
             telemetry=self._telemetry,
             on_contact=self._view.note_contact,
         )
-        rules = owners.Rules(
+        durations = owners.Durations(
             keep=self._settings.get("manager", "keep_time", float),
             order_pause=self._settings.get("manager", "order_pause", float),
             pace_interval=self._settings.get(
@@ -156,7 +156,7 @@
             ),
             stop_time=self._settings.get("manager", "stop_time", float),
         )
-        return owners.Owner(resources, rules, configuration, fence)
+        return owners.Owner(resources, durations, configuration, fence)
 
     def _make_adviser(self) -> advisers.Adviser | None:
         addresses = self._settings.get("manager", "adviser", tuple)
