--- a/features/steps/candidacy_steps.py
+++ b/features/steps/candidacy_steps.py
@@ -17,20 +17,22 @@
 
 @behave.given("a VM of {own:f} cores that has seen one of {seen:f} cores")
 def make_standing(context, own, seen):
-    standing = candidacy.Standing(own=own, most=own)
-    context.standing = standing.include(make_holder(seen))
+    known_cores = candidacy.KnownCores(own=own, largest=own)
+    context.known_cores = known_cores.include(make_holder(seen))
 
 
 @behave.then("it waits {wait:d} ms before it takes a free ownership")
 def check_wait(context, wait):
-    found = candidacy.compute_candidacy_delay(context.standing, float("inf"))
+    found = candidacy.compute_candidacy_delay(
+        context.known_cores, float("inf")
+    )
     assert round(found * 1000) == wait, found
 
 
 @behave.then("it asks an owner of {cores:f} cores after {time:d} s: {answer}")
 def check_asking(context, cores, time, answer):
     asks = candidacy.should_request_handover(
-        context.standing, make_holder(cores), float(time)
+        context.known_cores, make_holder(cores), float(time)
     )
     assert asks == (answer == "yes")
 
--- a/features/steps/outage_steps.py
+++ b/features/steps/outage_steps.py
@@ -306,7 +306,7 @@
     "outage"
 )
 def check_grace(context, wait):
-    found = candidacy.compute_candidacy_delay(context.standing, 0.0)
+    found = candidacy.compute_candidacy_delay(context.known_cores, 0.0)
     assert round(found * 1000) == wait, found
 
 
@@ -314,7 +314,7 @@
     "{wait:d} ms before it takes one that is free {since:f} s after an outage"
 )
 def check_no_grace(context, wait, since):
-    found = candidacy.compute_candidacy_delay(context.standing, since)
+    found = candidacy.compute_candidacy_delay(context.known_cores, since)
     assert round(found * 1000) == wait, found
 
 
--- a/src/rackvalve/manager/candidacy.py
+++ b/src/rackvalve/manager/candidacy.py
@@ -65,52 +65,56 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class Standing:
+class KnownCores:
     """What a process knows of its own VM and of the others.
 
     :param own: Processor of its own VM, in cores.
-    :param most: The most that any holder so far has told, in cores.
+    :param largest: The most that any holder so far has told, in cores.
     """
 
     own: float
-    most: float
+    largest: float
 
-    def include(self, holder: Holder | None) -> Standing:
-        """Return the standing with another holder known.
+    def include(self, holder: Holder | None) -> KnownCores:
+        """Return the known_cores with another holder known.
 
         :param holder: The holder; ``None`` changes nothing.
         """
-        if holder is None or holder.cores <= self.most:
+        if holder is None or holder.cores <= self.largest:
             return self
-        return Standing(own=self.own, most=holder.cores)
+        return KnownCores(own=self.own, largest=holder.cores)
 
 
-def compute_candidacy_delay(standing: Standing, since_return: float) -> float:
+def compute_candidacy_delay(
+    known_cores: KnownCores, since_return: float
+) -> float:
     """Return how long a process waits before it takes a free ownership.
 
-    :param standing: The process's own VM and the others.
+    :param known_cores: The process's own VM and the others.
     :param since_return: Time since the store was first heard again after an
         outage, in seconds; infinity if there was none.
     :return: Time in seconds; 0 on the largest VM that was seen.
     """
     grace = max(0.0, PREVIOUS_OWNER_GRACE_S - since_return)
-    if standing.most <= standing.own:
+    if known_cores.largest <= known_cores.own:
         return grace
-    return grace + MAX_CANDIDACY_DELAY_S * (1 - standing.own / standing.most)
+    return grace + MAX_CANDIDACY_DELAY_S * (
+        1 - known_cores.own / known_cores.largest
+    )
 
 
 def should_request_handover(
-    standing: Standing, holder: Holder | None, held_for: float
+    known_cores: KnownCores, holder: Holder | None, held_for: float
 ) -> bool:
     """Return whether a process should ask the owner to hand over.
 
-    :param standing: The process's own VM and the others.
+    :param known_cores: The process's own VM and the others.
     :param holder: The present owner; ``None`` if it told nothing of itself.
     :param held_for: How long it has been seen as the owner, in seconds.
     """
     if holder is None or held_for < MIN_OWNERSHIP_AGE_S:
         return False
-    return standing.own >= HANDOVER_CORES_RATIO * holder.cores
+    return known_cores.own >= HANDOVER_CORES_RATIO * holder.cores
 
 
 class DelayHistory:
--- a/src/rackvalve/manager/election.py
+++ b/src/rackvalve/manager/election.py
@@ -84,7 +84,7 @@
         self._may_own = may_own
         self._telemetry = telemetry
         self._on_contact = on_contact
-        self._standing = candidacy.Standing(own=cores, most=cores)
+        self._known_cores = candidacy.KnownCores(own=cores, largest=cores)
         self._holder: stores.Item | None = None
         self._term: stores.Item | None = None
         # When the store last answered, and when it last did so after a pause
@@ -230,13 +230,13 @@
         self._holder = item
         if item is not None:
             holder = candidacy.read_holder(item.payload)
-            self._standing = self._standing.include(holder)
+            self._known_cores = self._known_cores.include(holder)
 
     def _set_request(self, item: stores.Item | None) -> None:
         self._request = item
         if item is not None:
             asking = candidacy.read_holder(item.payload)
-            self._standing = self._standing.include(asking)
+            self._known_cores = self._known_cores.include(asking)
 
     def _describe(self) -> bytes:
         """Return a value for the store that no other try writes."""
@@ -244,7 +244,7 @@
         return candidacy.Holder(
             process=self._name,
             attempt=self._tries,
-            cores=self._standing.own,
+            cores=self._known_cores.own,
         ).encode()
 
     def _ask_holder(self) -> None:
@@ -254,7 +254,7 @@
         holder = candidacy.read_holder(item.payload)
         held_for = clocks.read_steady() - self._held_since
         if not candidacy.should_request_handover(
-            self._standing, holder, held_for
+            self._known_cores, holder, held_for
         ):
             return
         request = self._request
@@ -288,7 +288,9 @@
         Larger VMs do, and after an outage the owner before.
         """
         since_return = clocks.read_steady() - self._returned
-        wait = candidacy.compute_candidacy_delay(self._standing, since_return)
+        wait = candidacy.compute_candidacy_delay(
+            self._known_cores, since_return
+        )
         gevent.sleep(wait + random.uniform(0, CANDIDACY_SPREAD_S))
         if self._holder is not None or self._resigned:
             return
