--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -1,4 +1,4 @@
-"""Times, limits and weights of the manager, each with its origin."""
+"""Timeouts, intervals and limits of the manager, each with its reason."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class WatchTiming:
-    """How long watches wait.
+    """How long a watch waits for the store.
 
-    :param wait: Longest wait of the store for a change, in seconds.
-    :param slack: How much later its answer may come, in seconds.
-    :param max_slack: The same after failures, each of which doubles it.
+    :param wait: How long the store waits for a change, in seconds.
+    :param slack: Time beyond ``wait`` until the call times out, in seconds.
+    :param max_slack: Limit of the slack, in seconds; each failure doubles
+        the slack up to it.
     """
 
     wait: float
@@ -20,24 +21,23 @@
 
 
 # -- the store -------------------------------------------------------------
-# Longest wait for an answer.  A slow store takes 50 times 4 ms; beyond this
-# it is better asked anew on another connection.
+# Timeout of a call.  A slow store takes 50 times 4 ms; after this timeout a
+# retry on another connection is more likely to be answered.
 STORE_TIMEOUT_S = 0.8
-# Length of one waiting watch.  Each one is a call that is paid for; a watch
-# whose answer is lost is noticed only after this and the slack, which must be
-# less than the 2 s within which a configuration has to be in force.
+# How long the store holds one watch call.  Each call costs money.  A lost
+# answer is noticed only after this time and the slack; their sum must be less
+# than the 2 s within which a configuration has to be in force.
 WATCH_WAIT_S = 1.0
-# The answer to a waiting watch may be this late; a slow store takes a fifth of
-# a second.
+# Allowed delay of the answer to a watch; a slow store takes 0.2 s.
 WATCH_SLACK_S = 0.6
-# The same for the owner's watches over jobs and workers: while a store that
-# loses its history says nothing on watches (1.2 s in plays), the owner would
-# start nothing and give out no VM.  The waits cost 13 calls a second of one
-# process at the most, of some 800 a second of all.
+# Shorter for the owner's watches of jobs and workers: a store that loses its
+# history may leave watches unanswered (for 1.2 s), and until a
+# watch is answered the owner starts nothing and hands out no VM.  This costs
+# one process at most 13 calls a second, of some 800 of all processes.
 OWNER_WATCH_WAIT_S = 0.15
 OWNER_WATCH_SLACK_S = 0.35
-# Here the slack may grow: a store that is slower still must be heard.  That of
-# the usual watches may not, for the sake of the configuration (above).
+# The owner's slack grows with failures, so that an even slower store is heard.
+# The slack of the other watches must not, because of the configuration's 2 s.
 MAX_OWNER_WATCH_SLACK_S = 1.4
 DEFAULT_WATCH = WatchTiming(
     wait=WATCH_WAIT_S, slack=WATCH_SLACK_S, max_slack=WATCH_SLACK_S
@@ -47,186 +47,183 @@
     slack=OWNER_WATCH_SLACK_S,
     max_slack=MAX_OWNER_WATCH_SLACK_S,
 )
-# Pause before a failed call to the store is made again.
+# Delay before a failed call to the store is retried.
 STORE_RETRY_DELAY_S = 0.1
-# A record that nothing waits for is written this much later, together with
-# others.  The users' pages count an end as known 0.1 s after it was told.
+# Delay of a record that nothing waits for, so that it is batched with others.
+# The users count an end as known 0.1 s after its report.
 WRITE_DELAY_S = 0.06
-# The next commit is sent beside one that is under way after this time.  A
-# store that is well answers in 4 to 6 ms, so that one commit at a time takes
-# all; one 60 times slower gets 50 commits of up to 15 records a second, where
-# one at a time made 120 records a second.
+# Time after which the next commit is sent while another one is in flight.  A
+# healthy store answers in 4 to 6 ms, so one commit at a time suffices.  With a
+# store 60 times slower this allows 50 commits of up to 15 records a second;
+# one commit at a time reached 120 records a second.
 COMMIT_SPACING_S = 0.02
-# Commits under way at the same time: with 15 records each, 1,000 records a
-# second at answers of 0.24 s; 272 workers made up to 700.
+# Limit of concurrent commits.  With 15 records each it allows 1,000 records a
+# second at an answer time of 0.24 s; 272 workers caused up to 700.
 MAX_COMMITS_IN_FLIGHT = 16
-# Longest wait for the answer to the first try of a commit, and to any: a slow
-# store answers within 0.24 s, a lost answer should cost little, and a store
-# that is slower still must be heard in the end.
+# Timeout of the first attempt of a commit, and the limit of later ones.  A
+# slow store answers within 0.24 s and a lost answer should cost little; the
+# longer timeouts of retries let an even slower store answer.
 COMMIT_TIMEOUT_S = 0.4
 MAX_COMMIT_TIMEOUT_S = 1.6
 
 # -- ownership -------------------------------------------------------------
-# Length of the owner's lease where nothing is late: the least that the store
-# gives.  It is what a lost owner costs without starts.
+# Length of the owner's lease while this process has no delays: the shortest
+# that the store grants.  Nothing starts for so long after an owner is lost.
 MIN_OWNER_LEASE_S = 1.0
-# Its greatest length, in seconds, where processes stand still or the store is
-# slow: more would cost a lost owner's jobs more than 3 s.
+# Limit of the length where processes stall or the store is slow: a longer
+# lease would cost the jobs of a lost owner more than 3 s.
 MAX_OWNER_LEASE_S = 3.0
-# How much longer it is for each second by which this process was late lately:
-# once for the renewal itself, once for the one before.
+# Seconds added to the lease for each second of recent delay: the renewal and
+# the one before it may both be delayed.
 LEASE_PER_DELAY = 2.0
-# What was late is remembered for this long, in seconds; less than the second
-# figure does not count: the shortest lease bears it twice between renewals.
+# How long delays are remembered, and the shortest one that counts: the
+# shortest lease allows for a shorter delay twice between renewals.
 DELAY_RETENTION_S = 20.0
 MIN_DELAY_S = 0.25
-# Pause between two renewals, and the longest wait for an answer to one: one
-# renewal may not arrive, any number of answers may be lost, and a slow store
-# answers within 0.24 s.
+# Interval and timeout of renewals: the lease survives one renewal that does
+# not arrive and any number of lost answers; a slow store takes 0.24 s.
 OWNER_RENEWAL_INTERVAL_S = 0.25
 RENEWAL_TIMEOUT_S = 0.4
-# The store was away if it has answered nothing for so long: a watch is
-# answered within a second, or 0.3 s later by a slow store.
+# Silence of the store that counts as an outage: a watch is answered within a
+# second, or 0.3 s later by a slow store.
 STORE_OUTAGE_S = 1.5
-# An owner that hears nothing from the store goes on extending the leases of
-# what runs for this long.  With the lease itself that bears outages of 8 s;
-# longer lengthens the wait for proof after a change of owner.
+# How long an owner that cannot reach the store goes on extending the workers'
+# leases.  Together with the lease that covers outages of 8 s.  A longer limit
+# would lengthen the time until the next owner can prove that runs are over.
 EXTENSION_LIMIT_S = 4.0
 
 # -- workers ---------------------------------------------------------------
-# Lease on what runs on a worker: bears a change of owner (2 s) and two lost
-# holds; work on a worker that is lost waits for its end.
+# Lease on the runs of a worker: covers a change of owner (2 s) and two lost
+# holds.  The tasks of a lost worker start elsewhere only after it expires.
 WORKER_LEASE_S = 4.0
-# Longest wait of a hold for an end: decides how soon a silent worker is
-# noticed.
+# How long a worker holds the call open until a run ends (long polling).  It
+# determines how soon a silent worker is noticed.
 HOLD_WAIT_S = 0.5
-# Longest time beyond that wait in which a hold is answered.  A busy worker, or
-# a busy process of ours, takes longer than an order is given; a lease is only
-# extended after an answered hold, so a limit that is never kept would let all
-# lapse on a worker that is reached.  With the wait and the pause before it, a
-# hold that follows one without an answer still ends within the lease.
+# Limit of a hold's timeout beyond that wait.  A busy worker or manager needs
+# longer than the timeout of an order.  Leases are extended only after an
+# answered hold, so with too short a timeout all leases on a reachable worker
+# would expire.  A hold after an unanswered one, with the delay before it and
+# its wait, still ends within the lease.
 MAX_HOLD_TIMEOUT_S = 1.5
-# A hold takes no longer than this, in seconds.
+# Longest duration of a hold.
 MAX_HOLD_S = HOLD_WAIT_S + MAX_HOLD_TIMEOUT_S
-# A hold is given so many times what the last one took beyond its wait.
+# Timeout of a hold beyond its wait, as a multiple of the last hold's delay.
 HOLD_TIMEOUT_FACTOR = 2.0
-# After a report with ends the next hold waits this long for their record:
-# before that, the worker would tell the same ends at once.
+# After a report with ended runs the next hold waits this long until the store
+# has them: earlier, the worker would report the same ends again at once.
 RECORD_WAIT_S = 0.2
-# A start that a worker which answers holds has not answered for this long is
-# given up: the run is sealed by a stop, and its task starts elsewhere.
+# Time after which an unanswered start is given up if the worker answers holds:
+# a stop makes sure that the run never begins, and its task starts elsewhere.
 START_TIMEOUT_S = 1.5
-# Longest wait for a worker's answer to an order.
+# Timeout of an order to a worker.
 ORDER_TIMEOUT_S = 0.5
-# Pause before a failed order or hold is made again.
+# Delay before a failed order or hold is retried.
 ORDER_RETRY_DELAY_S = 0.1
-# Longest pause between two holds of a silent worker that runs nothing.  Most
-# of these are off for good: their VM was moved or maintained.
+# Limit of the backoff between holds of a silent worker that runs nothing.
+# Most of these are gone for good: their VM was moved or maintained.
 MAX_HOLD_RETRY_DELAY_S = 1.0
-# A worker that has not answered for this long gets no new work.
+# A worker without an answer for this long gets no new work.
 FRESHNESS_S = 0.9
-# A worker's entry that is missing for longer than this is taken as gone; the
-# platform brings entries back about two seconds after an outage's end.
+# An entry that is missing for longer counts as removed; the platform restores
+# entries about two seconds after the end of an outage.
 ENTRY_GRACE_S = 2.2
-# A stop that an earlier owner ordered shows this much after its longest time:
-# holds are answered after half a second at the latest.
+# How long after the stop time of a run its end may be reported when an earlier
+# owner ordered the stop: a hold is answered after at most half a second.
 STOP_MARGIN_S = 0.6
-# Orders to one worker that may be under way at the same time.
+# Greenlets that send orders to one worker.
 ORDER_SENDERS = 3
 
 # -- planning --------------------------------------------------------------
-# Least time between two plans: a busy owner was woken 235 times a second, and
-# a plan goes through all jobs that wait.  A start waits about as long for its
+# Shortest interval between plans: a busy owner was woken 235 times a second,
+# and each plan visits all waiting jobs.  A start waits about as long for its
 # record in the store anyway.
 PLAN_INTERVAL_S = 0.01
-# Longest time between two looks for runs to stop or release, and for due
-# repetitions.
+# Interval of the checks for runs to stop or release and for due repetitions.
 CHECK_INTERVAL_S = 0.1
 
 # -- admission -------------------------------------------------------------
-# Pause when no step waits for an admission.
+# Polling interval while no step waits for an admission.
 ADMISSION_INTERVAL_S = 0.05
-# Pause after the service has failed.
+# Delay before the admission service is called again after a failure.
 ADMISSION_RETRY_DELAY_S = 0.2
-# Longest wait beyond the time that the configuration gives for an answer;
-# calls of this process are answered in turn.
+# Timeout beyond the answer time from the configuration: the service answers
+# the calls of one process in turn.
 ADMISSION_SLACK_S = 1.0
-# Tickets are not used for the last part of their time.
+# Tickets are not used in the last part of their validity.
 TICKET_EXPIRY_MARGIN_S = 0.2
-# Workers named in one call: each one makes the answer later.  The users'
-# objective counts one call on 30 workers a step.
+# Limit of workers in one call, as each one delays the answer.  The users'
+# objective assumes one call with 30 workers for a step.
 MAX_ADMISSION_WORKERS = 30
 
 # -- VMs -------------------------------------------------------------------
-# How often it is decided which VM is closed, vacated or maintained next.
+# Interval of the decisions which VM is closed, vacated or maintained next.
 VM_CONTROL_INTERVAL_S = 0.1
-# How often the platform's list of VMs is read, with a wave under way or not.
+# Interval of reading the platform's list of VMs, during a wave and otherwise.
 LIST_BUSY_INTERVAL_S = 0.4
 LIST_INTERVAL_S = 2.0
-# An order to a VM is given this long after the store was asked at most.  No
-# other process gives that VM orders within its own pause.
+# Greatest age of the store's confirmation when an order to a VM is sent.  No
+# other process sends orders to that VM before its own order pause is over.
 MAX_CONFIRMATION_AGE_S = 0.9
-# An order without an answer is given again after this pause, so many times.
+# Delay before an unanswered order is retried, and the number of attempts.
 VM_ORDER_RETRY_DELAY_S = 0.3
 VM_ORDER_ATTEMPTS = 10
-# How often the sizes of pools are logged.
+# Interval of logging the sizes of pools.
 SIZES_LOG_INTERVAL_S = 1.0
-# Longest wait for an answer of the platform's interface to its VMs.
+# Timeout of calls to the platform's VM interface.
 VM_API_TIMEOUT_S = 1.0
 
 # -- callers ---------------------------------------------------------------
-# Longest time spent on a caller's request when it names no deadline.
+# Time limit of a request without a deadline.
 REQUEST_BUDGET_S = 2.0
-# Part of the caller's deadline that may be spent on its request.
+# Share of the caller's deadline that may be spent on the request.
 DEADLINE_SHARE = 0.6
-# When to come back after a refusal; and after one for want of the store, which
-# is mostly away for longer: callers come back four times at most, and outages
-# of the users' days last 4 to 9 s.
+# Retry-After of a refusal, and of one because the store is unreachable:
+# callers retry at most four times, and most outages are longer, 4 to 9 s.
 RETRY_AFTER_S = 1
 RETRY_AFTER_OUTAGE_S = 2
-# A process that has not heard from the store for this long takes no jobs: a
-# watch is answered after a second, or 0.2 s later by a slow store.
+# Silence of the store after which a process accepts no jobs: a watch is
+# answered after a second, or 0.2 s later by a slow store.
 MAX_STORE_SILENCE_S = 1.6
-# Callers are answered by a configuration that was the newest within this
-# time: longer than a watch that is well takes (1 s, 0.2 s more by a slow
-# store), shorter than the 2 s within which one has to be in force.
+# Greatest age of the configuration that callers are answered by: longer than a
+# healthy watch takes (1 s, 0.2 s more with a slow store), shorter than the 2 s
+# within which a configuration has to be in force.
 MAX_VIEW_AGE_S = 1.5
 
-# Least time between two comparisons of the configuration with the store's.
+# Shortest interval between comparisons of the configuration with the store's.
 # Callers with invented keys or paths make each manager compare at most 20
-# times a second, 33 managers 660 times where the store takes 1,200 writing and
-# 6,000 reading calls; one whose key was added a moment ago waits this much
-# longer at the most.
+# times a second and 33 managers 660 times, where the store takes 1,200 write
+# and 6,000 read calls.  A caller whose key was just added waits at most this
+# much longer.
 COMPARISON_SPACING_S = 0.05
 
 # -- failures --------------------------------------------------------------
-# Pause before a task of the process that met an error which nobody expected
-# begins anew: an owner's lease of a second bears it twice.
+# Delay before a task of the process is restarted after an unexpected error: an
+# owner's lease of a second allows for it twice.
 TASK_RESTART_DELAY_S = 0.25
 
-# -- end -------------------------------------------------------------------
-# After SIGTERM new connections are taken for this long: the balancer needs
-# two missed looks, a second apart.
+# -- shutdown --------------------------------------------------------------
+# How long new connections are accepted after SIGTERM: the load balancer needs
+# two failed health checks, a second apart.
 SHUTDOWN_DELAY_S = 2.6
-# The process ends once no call was under way for this long after it has taken
-# its last connection: what was just accepted is read within some milliseconds.
+# The process exits once no call was in flight for this long after the last
+# accepted connection: a new connection is read within some milliseconds.
 SHUTDOWN_IDLE_S = 0.1
-# The process ends this long before it would be killed.
+# How long before the end of the grace time the process exits by itself.
 SHUTDOWN_MARGIN_S = 0.5
 
 # -- records ---------------------------------------------------------------
-# Ended jobs are kept this much longer than the users ask.
+# Ended jobs are kept this much longer than the setting asks for.
 KEEP_MARGIN_S = 30.0
 COLLECT_INTERVAL_S = 5.0
-# How often the numbers of waiting jobs are published, if they changed, and if
-# not: their age is told by the time of the last publishing.
+# Intervals of publishing the numbers of waiting jobs if they changed, and if
+# not: readers judge their age by the time of the last publication.
 WAITING_INTERVAL_S = 0.7
 WAITING_RENEWAL_S = 1.0
-# Callers bear a number that is 2 s old.  Reading it from a slow store takes
-# 0.24 s, publishing it as long.
+# Greatest age of a published number.  Callers accept one that is 2 s old;
+# reading it from a slow store takes 0.24 s, and so does publishing it.
 MAX_COUNT_AGE_S = 1.6
-# Clocks of VMs that are well differ by less than this, in seconds.
+# The clocks of healthy VMs differ by less than this.
 MAX_CLOCK_SKEW_S = 0.5
-# What a process has counted itself is told again for this long: a burst of
-# questions, while nobody publishes, costs one reading of a queue's records.
+# How long a process caches a number that it counted itself: while nobody
+# publishes, a burst of requests costs one read of a queue's records.
 COUNT_CACHE_S = 0.5
