--- a/features/steps/outage_steps.py
+++ b/features/steps/outage_steps.py
@@ -402,12 +402,12 @@
     "lease is lost"
 )
 def lose_longer_lease(context):
-    lateness = context.first.election._lateness
+    delays = context.first.election._delays
     context.store.lost = 1
-    lateness.note(0.9, time.monotonic())
+    delays.record(0.9, time.monotonic())
     wait_until(lambda: not context.store.lost, 2.0)
     # By now the shortest lease would do again.
-    lateness._late.clear()
+    delays._delays.clear()
 
 
 @behave.then("its key is not written anew in the next {seconds:f} s")
--- a/src/rackvalve/manager/candidacy.py
+++ b/src/rackvalve/manager/candidacy.py
@@ -1,9 +1,9 @@
-"""Which process should own the scheduling: one with enough processor.
+"""Rules of the election: which process goes first, how long its lease is.
 
-All processor time of the scheduling is spent by one process.  On a VM with
-half a core it falls behind: reports wait, leases run out, jobs are late.  So
-a process on a smaller VM lets larger ones go first, and one on a much larger
-VM asks the owner to hand over.
+The scheduling runs in one process.  On a VM with half a core it falls behind:
+reports wait, leases expire, jobs are late.  So processes on smaller VMs let
+larger ones go first, and a process on a much larger VM requests a handover.
+:mod:`rackvalve.manager.election` uses these rules.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 from rackvalve import logs
 from rackvalve.manager import timing
 
-# The owner is asked to hand over by a VM with so many times its processor.
-# Handing over costs half a second without starts; for less it is not worth it.
+# A VM with this many times the owner's cores requests a handover.  For a
+# smaller difference the half second without starts would not pay.
 HANDOVER_CORES_RATIO = 1.5
-# How long the smallest VM waits before it takes a free ownership, in seconds:
-# a larger one needs three calls to the store, of 4 ms each.
+# Delay of the smallest VM before it takes a free ownership: a larger one needs
+# three calls to the store, of 4 ms each.
 MAX_CANDIDACY_DELAY_S = 0.25
-# After an outage processes hear of the free ownership at different
-# times.  The owner before, which knows all, is left this long to go on, in
-# seconds: it asks every 0.65 s while the store is silent, and needs two more
-# calls.  A new owner would read all jobs and find all workers first.
+# After an outage, processes learn at different times that the ownership is
+# free.  This delay lets the previous owner go on, which has all state loaded:
+# it retries every 0.65 s while the store is silent, and needs two more calls.
+# A new owner would have to read all jobs and find all workers first.
 PREVIOUS_OWNER_GRACE_S = 0.7
-# An owner is asked to hand over only after this time, in seconds: until then
-# it may be loading, or about to hear of another request.
+# A handover is requested only from an owner that is older than this: a newer
+# one may still be loading, or not yet have seen another request.
 MIN_OWNERSHIP_AGE_S = 2.0
 
 
 class Holder(msgspec.Struct, frozen=True, kw_only=True):
-    """Who holds the ownership, or asks for it, as the store keeps it.
+    """Holder of the ownership, or process that requests it, as stored.
 
     :param process: Name of the process; begins with its VM.
-    :param attempt: Counts what the process has written so far.
+    :param attempt: Number of the process's write, which makes it unique.
     :param cores: Processor of its VM, in cores of the usual speed.
     """
 
@@ -53,7 +53,7 @@
     """Decode a stored holder.
 
     :param payload: The stored value.
-    :return: The holder, or ``None`` for a value of another release.
+    :return: The holder; ``None`` for the value of another release.
     """
     try:
         return msgspec.json.decode(payload, type=Holder)
@@ -66,17 +66,17 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class KnownCores:
-    """What a process knows of its own VM and of the others.
+    """Cores of the own VM and of the largest VM seen so far.
 
-    :param own: Processor of its own VM, in cores.
-    :param largest: The most that any holder so far has told, in cores.
+    :param own: Processor of the own VM, in cores.
+    :param largest: Processor of the largest VM of any holder, in cores.
     """
 
     own: float
     largest: float
 
     def include(self, holder: Holder | None) -> KnownCores:
-        """Return the known_cores with another holder known.
+        """Return the known cores with those of another holder.
 
         :param holder: The holder; ``None`` changes nothing.
         """
@@ -86,16 +86,16 @@
 
 
 def compute_candidacy_delay(
-    known_cores: KnownCores, since_return: float
+    known_cores: KnownCores, since_recovery: float
 ) -> float:
     """Return how long a process waits before it takes a free ownership.
 
-    :param known_cores: The process's own VM and the others.
-    :param since_return: Time since the store was first heard again after an
+    :param known_cores: Cores of the own VM and of the largest one.
+    :param since_recovery: Time since the first answer of the store after an
         outage, in seconds; infinity if there was none.
-    :return: Time in seconds; 0 on the largest VM that was seen.
+    :return: Time in seconds; 0 on the largest VM without a recent outage.
     """
-    grace = max(0.0, PREVIOUS_OWNER_GRACE_S - since_return)
+    grace = max(0.0, PREVIOUS_OWNER_GRACE_S - since_recovery)
     if known_cores.largest <= known_cores.own:
         return grace
     return grace + MAX_CANDIDACY_DELAY_S * (
@@ -104,52 +104,56 @@
 
 
 def should_request_handover(
-    known_cores: KnownCores, holder: Holder | None, held_for: float
+    known_cores: KnownCores, holder: Holder | None, ownership_age: float
 ) -> bool:
-    """Return whether a process should ask the owner to hand over.
+    """Return whether a process should request a handover from the owner.
 
-    :param known_cores: The process's own VM and the others.
-    :param holder: The present owner; ``None`` if it told nothing of itself.
-    :param held_for: How long it has been seen as the owner, in seconds.
+    :param known_cores: Cores of the own VM and of the largest one.
+    :param holder: The present owner; ``None`` if its value is unreadable.
+    :param ownership_age: Time since it was first seen as the owner, in
+        seconds.
     """
-    if holder is None or held_for < MIN_OWNERSHIP_AGE_S:
+    if holder is None or ownership_age < MIN_OWNERSHIP_AGE_S:
         return False
     return known_cores.own >= HANDOVER_CORES_RATIO * holder.cores
 
 
 class DelayHistory:
-    """How late this process has lately been.
+    """Recent delays of this process, which determine the length of its lease.
 
-    On a busy machine a process stands still for up to a second now and then,
-    though nothing has failed.  A lease of one second then ends with each such
-    pause: the ownership changed five times in 25 s, and jobs stood still for
-    up to 4.9 s (64 busy processes beside a site on 16 cores).
+    On a busy VM a process stalls for up to a second now and then although
+    nothing has failed.  A lease of one second expires in each such stall: with
+    64 busy processes beside a site on 16 cores the ownership changed five
+    times in 25 s, and jobs stood still for up to 4.9 s.
     """
 
-    __slots__ = ("_late",)
+    __slots__ = ("_delays",)
 
     def __init__(self) -> None:
-        # When it was late, and by how much, in seconds.
-        self._late: collections.deque[tuple[float, float]] = (
+        # When each delay ended, and its length, in seconds.
+        self._delays: collections.deque[tuple[float, float]] = (
             collections.deque()
         )
 
-    def note(self, late: float, now: float) -> None:
-        """Note by how much something that this process did was late.
+    def record(self, delay: float, now: float) -> None:
+        """Record the delay of an action of this process.
 
-        :param late: Time beyond what it was to take, in seconds.
+        :param delay: Time beyond the action's expected one, in seconds.
         :param now: Present time, in seconds.
         """
-        if late >= timing.MIN_DELAY_S:
-            self._late.append((now, late))
+        if delay >= timing.MIN_DELAY_S:
+            self._delays.append((now, delay))
 
     def choose_lease_length(self, now: float) -> float:
         """Return how long the owner's lease should be, in seconds.
 
         :param now: Present time, in seconds.
         """
-        while self._late and now - self._late[0][0] > timing.DELAY_RETENTION_S:
-            self._late.popleft()
-        worst = max((late for _, late in self._late), default=0.0)
+        while (
+            self._delays
+            and now - self._delays[0][0] > timing.DELAY_RETENTION_S
+        ):
+            self._delays.popleft()
+        worst = max((delay for _, delay in self._delays), default=0.0)
         length = timing.MIN_OWNER_LEASE_S + timing.LEASE_PER_DELAY * worst
         return min(timing.MAX_OWNER_LEASE_S, length)
--- a/src/rackvalve/manager/election.py
+++ b/src/rackvalve/manager/election.py
@@ -1,13 +1,14 @@
-"""Who owns the scheduling: one process of the site, by two keys in the store.
-
-An owner's term is a key without a lease, written by whoever takes the
-ownership; its revision is the fencing token, so that tokens rise with each
-change of owner, and every record of the owner is written under the condition
-that it still stands.  Beside it a key with the owner's lease keeps others from
-trying.  The end of that lease proves nothing against the owner: an outage of
-the store ends it though the owner is well.  While the term stands nobody else
-has owned meanwhile, and the owner opens a new lease and goes on with all that
-it knows.  :mod:`rackvalve.manager.candidacy` decides which process goes first.
+"""Elects the process that owns the scheduling, by two keys in the store.
+
+The term key has no lease and is written by each process that takes the
+ownership.  Its revision is the fencing token: tokens rise with each change of
+owner, and each record of the owner is committed only while the term key has
+that revision.  The holder key has the owner's lease and keeps others from
+campaigning.  The end of that lease does not end the ownership, since an outage
+of the store lets it expire although the owner is healthy: while the term key
+is unchanged there was no other owner, and the owner opens a new lease and goes
+on with its state.  :mod:`rackvalve.manager.candidacy` decides which process
+goes first.
 """
 
 from __future__ import annotations
@@ -32,12 +33,12 @@
 PREFIX = "owner/"
 KEY = PREFIX + "scheduling"
 TERM_KEY = PREFIX + "term"
-# The last process that has asked the owner to hand over.
+# The last process that requested a handover from the owner.
 REQUEST_KEY = PREFIX + "request"
-# Candidates try at different times, so that one wins without conflict.
+# Random delay of candidates, so that they rarely conflict.
 CANDIDACY_SPREAD_S = 0.02
-# A lease is replaced if it is too long or too short by more than this, in
-# seconds: that takes two calls.
+# Deviation from the wanted length up to which a lease is not replaced:
+# replacing one takes two calls.
 LEASE_TOLERANCE_S = 0.3
 _TAKEN_BY_ANOTHER = "another process has taken the ownership"
 
@@ -46,9 +47,9 @@
 class _Lease:
     """A lease that was opened.
 
-    :param identity: Its number.
-    :param length: The length that was asked for, in seconds: the store may
-        give a longer one, which is no reason to open another.
+    :param identity: Number of the lease.
+    :param length: Requested length in seconds.  The store may grant a longer
+        lease, which is not replaced for that.
     """
 
     identity: int
@@ -56,13 +57,13 @@
 
 
 class Election:
-    """Takes the ownership whenever it is free.
+    """Takes the ownership whenever it is free, and renews it.
 
     :param store: The store.
-    :param name: Name of this process, unlike those of all others.
+    :param name: Unique name of this process.
     :param cores: Processor of this VM, in cores of the usual speed.
-    :param make_owner: Makes the owner for a fencing token.
-    :param may_own: Whether this process knows enough to own.
+    :param make_owner: Creates the owner for a fencing token.
+    :param may_own: Whether this process has all it needs to be the owner.
     :param telemetry: Counts the changes.
     :param on_contact: Called at each answer of the store.
     """
@@ -87,55 +88,57 @@
         self._known_cores = candidacy.KnownCores(own=cores, largest=cores)
         self._holder: stores.Item | None = None
         self._term: stores.Item | None = None
-        # When the store last answered, and when it last did so after a pause
-        # that no answer of a store that is well takes, in seconds.
-        self._answered = clocks.read_steady()
-        self._returned = float("-inf")
-        # Since when the present holder is known, in seconds.
+        # When the store last answered, and when it first answered after the
+        # last outage, in seconds.
+        self._last_answer = clocks.read_steady()
+        self._reachable_since = float("-inf")
+        # When this process learned of the present holder, in seconds.
         self._held_since = 0.0
-        self._request: stores.Item | None = None
-        self._known = False
+        self._handover_request: stores.Item | None = None
+        self._is_loaded = False
         self._changed = event.Event()
         self._owner: protocols.ElectedOwner | None = None
         self._lease = 0
-        # Its length, in seconds, and what it should be as late as we are.
+        # Requested length of that lease, in seconds.
         self._lease_length = timing.MIN_OWNER_LEASE_S
-        # Whether the key is known to end with that lease, and with no other.
-        self._is_bound = True
-        self._lateness = candidacy.DelayHistory()
+        # Whether the holder key is known to be bound to that lease.
+        self._is_key_bound = True
+        self._delays = candidacy.DelayHistory()
         self._resigned = False
-        self._tries = 0
+        self._attempts = 0
 
     def start(self) -> tuple[gevent.Greenlet, ...]:
-        """Take part, until the greenlets that this returns are killed.
+        """Start the greenlets that take part in the election.
 
-        Each begins anew after an error that nobody expected: a process that
-        takes no part any more looks well, and is of no use to the others.
+        Each is restarted after an unexpected error: a process that no longer
+        takes part seems healthy but can never own.
+
+        :return: The greenlets; the process takes part until they are killed.
         """
         watcher = watchers.Watcher(
             self._store,
             PREFIX,
-            on_range=self._take_range,
-            on_changes=self._take_changes,
+            on_range=self._apply_range,
+            on_changes=self._apply_changes,
             on_contact=self._note_answer,
         )
         pause = timing.TASK_RESTART_DELAY_S
         return (
             tasks.run_forever("ownership watch", pause, watcher.run),
-            tasks.run_forever("ownership", pause, self._take_part),
+            tasks.run_forever("ownership", pause, self._participate),
         )
 
-    def _take_part(self) -> None:
+    def _participate(self) -> None:
         while True:
             self._wait()
             if self._owner is not None:
-                self._keep()
-            elif not self._known or not self._may_own() or self._resigned:
+                self._retain_ownership()
+            elif not self._is_loaded or not self._may_own() or self._resigned:
                 continue
             elif self._holder is None:
                 self._campaign()
             else:
-                self._ask_holder()
+                self._request_handover()
 
     def _wait(self) -> None:
         """Wait for a change, or until it is time for the next renewal."""
@@ -143,50 +146,50 @@
         self._changed.wait(timing.OWNER_RENEWAL_INTERVAL_S)
         self._changed.clear()
         now = clocks.read_steady()
-        self._lateness.note(now - began - timing.OWNER_RENEWAL_INTERVAL_S, now)
+        self._delays.record(now - began - timing.OWNER_RENEWAL_INTERVAL_S, now)
 
     def _open_lease(self) -> _Lease | None:
-        """Open a lease as long as this process needs one.
+        """Open a lease whose length covers this process's recent delays.
 
         :return: The lease; ``None`` if the store does not answer.
         """
-        length = self._lateness.choose_lease_length(clocks.read_steady())
-        lease = self._open_lease_of(length)
-        wanted = self._lateness.choose_lease_length(clocks.read_steady())
+        length = self._delays.choose_lease_length(clocks.read_steady())
+        lease = self._request_lease(length)
+        wanted = self._delays.choose_lease_length(clocks.read_steady())
         if lease is not None and wanted - length > LEASE_TOLERANCE_S:
-            # This very call has told that it is too short.
-            return self._open_lease_of(wanted)
+            # The delay of this call itself asks for a longer lease.
+            return self._request_lease(wanted)
         return lease
 
-    def _open_lease_of(self, length: float) -> _Lease | None:
+    def _request_lease(self, length: float) -> _Lease | None:
         began = clocks.read_steady()
         lease = self._store.open_lease(length)
         if isinstance(lease, stores.Unavailable):
             return None
         now = clocks.read_steady()
-        self._lateness.note(now - began, now)
+        self._delays.record(now - began, now)
         return _Lease(identity=lease.identity, length=length)
 
-    def _take_lease(self, lease: _Lease) -> None:
+    def _adopt_lease(self, lease: _Lease) -> None:
         self._lease = lease.identity
         self._lease_length = lease.length
-        self._is_bound = True
+        self._is_key_bound = True
 
     def _note_answer(self) -> None:
-        """Note that the store has answered, and whether it was away."""
+        """Note an answer of the store, and whether it ended an outage."""
         now = clocks.read_steady()
-        if now - self._answered > timing.STORE_OUTAGE_S:
-            self._returned = now
-        self._answered = now
+        if now - self._last_answer > timing.STORE_OUTAGE_S:
+            self._reachable_since = now
+        self._last_answer = now
         self._on_contact()
 
     def resign(self) -> None:
-        """Hand over at once and take no further part."""
+        """Give up the ownership at once and leave the election."""
         self._resigned = True
         self._hand_over("the process is to end")
 
     def _hand_over(self, reason: str) -> None:
-        """Give the ownership up; what runs on workers runs on."""
+        """Give up the ownership; runs on workers go on."""
         owner, self._owner = self._owner, None
         if owner is None:
             return
@@ -199,15 +202,15 @@
             ended=str(ended),
         )
 
-    def _take_range(self, items: tuple[stores.Item, ...]) -> None:
-        self._known = True
+    def _apply_range(self, items: tuple[stores.Item, ...]) -> None:
+        self._is_loaded = True
         by_key = {item.key: item for item in items}
         self._set_holder(by_key.get(KEY))
         self._term = by_key.get(TERM_KEY)
         self._set_request(by_key.get(REQUEST_KEY))
         self._changed.set()
 
-    def _take_changes(self, changes: stores.Changes) -> None:
+    def _apply_changes(self, changes: stores.Changes) -> None:
         newest = 0
         for item in changes.written:
             if item.key == KEY and item.revision > newest:
@@ -233,33 +236,33 @@
             self._known_cores = self._known_cores.include(holder)
 
     def _set_request(self, item: stores.Item | None) -> None:
-        self._request = item
+        self._handover_request = item
         if item is not None:
             asking = candidacy.read_holder(item.payload)
             self._known_cores = self._known_cores.include(asking)
 
-    def _describe(self) -> bytes:
-        """Return a value for the store that no other try writes."""
-        self._tries += 1
+    def _encode_holder(self) -> bytes:
+        """Return a value for the store that is unique to this attempt."""
+        self._attempts += 1
         return candidacy.Holder(
             process=self._name,
-            attempt=self._tries,
+            attempt=self._attempts,
             cores=self._known_cores.own,
         ).encode()
 
-    def _ask_holder(self) -> None:
-        """Ask the owner to hand over, if its VM is much smaller."""
+    def _request_handover(self) -> None:
+        """Request a handover if the owner's VM is much smaller."""
         item = self._holder
         assert item is not None
         holder = candidacy.read_holder(item.payload)
-        held_for = clocks.read_steady() - self._held_since
+        ownership_age = clocks.read_steady() - self._held_since
         if not candidacy.should_request_handover(
-            self._known_cores, holder, held_for
+            self._known_cores, holder, ownership_age
         ):
             return
-        request = self._request
+        request = self._handover_request
         if request is not None and request.revision > item.created:
-            # This owner was asked already.
+            # A handover was already requested from this owner.
             return
         gevent.sleep(random.uniform(0, CANDIDACY_SPREAD_S))
         known = request.revision if request is not None else 0
@@ -268,7 +271,7 @@
                 stores.Condition(key=KEY, revision=item.revision),
                 stores.Condition(key=REQUEST_KEY, revision=known),
             ],
-            [stores.Put(key=REQUEST_KEY, payload=self._describe())],
+            [stores.Put(key=REQUEST_KEY, payload=self._encode_holder())],
         )
         logs.write_event(
             "ownership.requested",
@@ -277,19 +280,19 @@
             outcome=type(outcome).__name__,
         )
 
-    def _is_asked(self, owner: protocols.ElectedOwner) -> bool:
-        """Return whether a larger VM has asked this owner to hand over."""
-        request = self._request
+    def _is_handover_requested(self, owner: protocols.ElectedOwner) -> bool:
+        """Return whether a larger VM requested a handover from this owner."""
+        request = self._handover_request
         return request is not None and request.revision > owner.fence
 
     def _campaign(self) -> None:
-        """Take the free ownership, after those that go first had their turn.
+        """Take the free ownership after the delay of this process.
 
-        Larger VMs do, and after an outage the owner before.
+        Larger VMs go first, and after an outage the previous owner.
         """
-        since_return = clocks.read_steady() - self._returned
+        since_recovery = clocks.read_steady() - self._reachable_since
         wait = candidacy.compute_candidacy_delay(
-            self._known_cores, since_return
+            self._known_cores, since_recovery
         )
         gevent.sleep(wait + random.uniform(0, CANDIDACY_SPREAD_S))
         if self._holder is not None or self._resigned:
@@ -297,7 +300,7 @@
         lease = self._open_lease()
         if lease is None:
             return
-        payload = self._describe()
+        payload = self._encode_holder()
         outcome = self._store.commit(
             [stores.Condition(key=KEY, revision=0)],
             [
@@ -310,7 +313,7 @@
             self._begin_owning(fence, lease)
 
     def _begin_owning(self, fence: int, lease: _Lease) -> None:
-        self._take_lease(lease)
+        self._adopt_lease(lease)
         logs.write_event("ownership.taken", fence=fence)
         self._telemetry.ownership.labels("taken").inc()
         self._owner = self._make_owner(fence)
@@ -322,17 +325,18 @@
         if isinstance(outcome, stores.Committed):
             return outcome.revision
         if isinstance(outcome, stores.Unknown):
-            # If it takes effect later still, its lease has run out by then.
+            # Should the commit take effect even later, its lease has expired
+            # by then.
             found = self._store.read(TERM_KEY)
             if isinstance(found, stores.Item) and found.payload == payload:
                 return found.revision
         return None
 
-    def _keep(self) -> None:
-        """Stay the owner, unless another should be or already is."""
+    def _retain_ownership(self) -> None:
+        """Renew the ownership, hand it over, or stop if it is lost."""
         owner = self._owner
         assert owner is not None
-        if self._is_asked(owner):
+        if self._is_handover_requested(owner):
             self._hand_over("a larger VM has asked for it")
             return
         reason = self._find_successor(owner) or self._renew(owner)
@@ -346,9 +350,9 @@
             self._changed.set()
 
     def _find_successor(self, owner: protocols.ElectedOwner) -> str:
-        """Look whether another owner is known already.
+        """Check whether a later owner is known.
 
-        :return: What shows it, empty if none is known.
+        :return: How it became known; empty if there is none.
         """
         if owner.deposed:
             return owner.deposed
@@ -357,9 +361,9 @@
         return ""
 
     def _renew(self, owner: protocols.ElectedOwner) -> str:
-        """Renew the lease, or open another one in its place.
+        """Renew the lease, or replace it by another one.
 
-        :return: Why the ownership is lost, empty if it is not.
+        :return: Why the ownership is lost; empty if it is not.
         """
         began = clocks.read_steady()
         renewed = self._store.renew_lease(
@@ -369,40 +373,45 @@
             return ""
         self._note_answer()
         now = clocks.read_steady()
-        self._lateness.note(now - began, now)
+        self._delays.record(now - began, now)
         if not renewed:
-            return self._hold_again(owner, known=0)
-        if self._is_bound:
-            # Else the lease may run though the key has ended.
+            return self._rewrite_key(owner, known=0)
+        if self._is_key_bound:
+            # Otherwise the key may be gone although the lease still runs.
             owner.note_confirmation(began)
-        if self._holder is None and self._known:
+        if self._holder is None and self._is_loaded:
             return self._check_key(owner)
-        if self._holder is not None and self._is_lease_unfit(now):
-            return self._hold_again(owner, known=self._holder.revision)
+        if self._holder is not None and self._needs_new_lease(now):
+            return self._rewrite_key(owner, known=self._holder.revision)
         return ""
 
-    def _is_lease_unfit(self, now: float) -> bool:
-        """Return whether the key needs another lease."""
-        if not self._is_bound:
+    def _needs_new_lease(self, now: float) -> bool:
+        """Return whether the holder key needs another lease."""
+        if not self._is_key_bound:
             return True
-        wanted = self._lateness.choose_lease_length(now)
+        wanted = self._delays.choose_lease_length(now)
         return abs(wanted - self._lease_length) > LEASE_TOLERANCE_S
 
     def _check_key(self, owner: protocols.ElectedOwner) -> str:
-        """Look whether the key is really gone though the lease runs."""
+        """Read whether the holder key is gone although its lease runs.
+
+        :return: Why the ownership is lost; empty if it is not.
+        """
         found = self._store.read(KEY)
         if isinstance(found, stores.Item):
             self._holder = found
         if isinstance(found, stores.Missing):
-            return self._hold_again(owner, known=0)
+            return self._rewrite_key(owner, known=0)
         return ""
 
-    def _hold_again(self, owner: protocols.ElectedOwner, *, known: int) -> str:
-        """Write the key anew, with another lease, under the term that stands.
+    def _rewrite_key(
+        self, owner: protocols.ElectedOwner, *, known: int
+    ) -> str:
+        """Write the holder key with another lease if the term is unchanged.
 
         :param owner: The owner.
-        :param known: The key's revision; 0 if its lease has ended it.
-        :return: Why the ownership is lost, empty if it is not.
+        :param known: Revision of the holder key; 0 if it ended with its lease.
+        :return: Why the ownership is lost; empty if it is not.
         """
         lease = self._open_lease()
         if lease is None:
@@ -410,21 +419,21 @@
         began = clocks.read_steady()
         outcome = self._write_key(owner, lease, known)
         if isinstance(outcome, stores.Conflict):
-            if not _stands(outcome, owner):
+            if not _is_term_valid(outcome, owner):
                 return _TAKEN_BY_ANOTHER
-            # An earlier try without an answer took effect, or the key ended.
+            # An earlier unanswered attempt took effect, or the key is gone.
             self._holder = outcome.items.get(KEY)
             found = self._holder.revision if self._holder is not None else 0
             outcome = self._write_key(owner, lease, found)
         if isinstance(outcome, stores.Unknown):
-            # It may take effect yet; the next write settles that.
-            self._is_bound = False
+            # The commit may still take effect; the next write resolves that.
+            self._is_key_bound = False
         if isinstance(outcome, stores.Committed):
             if self._owner is not owner:
-                # It was told to hand over meanwhile.
+                # The ownership was handed over in the meantime.
                 self._store.end_lease(lease.identity)
                 return ""
-            self._take_lease(lease)
+            self._adopt_lease(lease)
             owner.note_confirmation(began)
             logs.write_event(
                 "ownership.kept",
@@ -437,7 +446,7 @@
     def _write_key(
         self, owner: protocols.ElectedOwner, lease: _Lease, known: int
     ) -> object:
-        """Write the key with a lease, if it and the term are as known."""
+        """Write the holder key if neither it nor the term key has changed."""
         return self._store.commit(
             [
                 stores.Condition(key=KEY, revision=known),
@@ -445,13 +454,17 @@
             ],
             [
                 stores.Put(
-                    key=KEY, payload=self._describe(), lease=lease.identity
+                    key=KEY,
+                    payload=self._encode_holder(),
+                    lease=lease.identity,
                 )
             ],
         )
 
 
-def _stands(conflict: stores.Conflict, owner: protocols.ElectedOwner) -> bool:
-    """Return whether an owner's term stands, by what a commit was told."""
+def _is_term_valid(
+    conflict: stores.Conflict, owner: protocols.ElectedOwner
+) -> bool:
+    """Return whether the term key in a conflict is still that of an owner."""
     term = conflict.items.get(TERM_KEY)
     return term is not None and term.revision == owner.fence
