--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -1,4 +1,4 @@
-"""Steps about errors that nobody expects, and what they may cost."""
+"""Steps about unexpected errors and invalid data of other writers."""
 
 from __future__ import annotations
 
@@ -95,7 +95,7 @@
 
 
 def _decide(bench):
-    """Let all that decides look at the book once."""
+    """Run each decision of an owner on the book once."""
     care = upkeep.Upkeep(bench.book)
     silent = silence.Silence(bench.book, care)
     sizes = sizing.Sizing(bench.book, care, silent)
@@ -111,8 +111,8 @@
         records.write_progress(state)
 
 
-class Hearer:
-    """An owner that handles what a contact tells it."""
+class BenchOwner:
+    """An owner that applies what a session reports to a bench."""
 
     durable = 0
     committed_revision = 0
@@ -159,14 +159,14 @@
     answer(rng, {**told, "running": rows[1:], "ended": ended})
     client = clients.Worker("127.0.0.1", 1, "w1", timeout=TIMEOUT_S)
     session = worker_sessions.WorkerSession(
-        Hearer(bench), bench.book.workers["w1"], client
+        BenchOwner(bench), bench.book.workers["w1"], client
     )
     for _ in range(2):
         outcome = session._hold()
         if isinstance(outcome, clients.Report):
-            session._take_report(outcome)
+            session._apply_report(outcome)
         else:
-            session._take_outcome(outcome)
+            session._handle_outcome(outcome)
     _decide(bench)
 
 
@@ -221,7 +221,7 @@
         },
     )
     registry = worker_registries.WorkerRegistry(
-        Hearer(bench), bench.book, on_change=lambda: None
+        BenchOwner(bench), bench.book, on_change=lambda: None
     )
     with mock.patch.object(worker_registries.worker_sessions, "WorkerSession"):
         registry.apply_range((make_item("servers/w9", payload),))
@@ -284,7 +284,7 @@
     bench = _make_bench(["w1"])
     client = clients.Worker("127.0.0.1", 1, "w1", timeout=TIMEOUT_S)
     context.session = worker_sessions.WorkerSession(
-        Hearer(bench), bench.book.workers["w1"], client
+        BenchOwner(bench), bench.book.workers["w1"], client
     )
     context.clocks = ["1e308", "482113", "482114"]
 
@@ -298,8 +298,8 @@
 
     with mock.patch.object(connections.HttpClient, "exchange", exchange):
         outcomes = [context.session._hold() for _ in range(2)]
-        context.session._take_report(outcomes[1])
-        until = context.session._lease_until()
+        context.session._apply_report(outcomes[1])
+        until = context.session._grant_lease()
     kinds = [type(outcome) for outcome in outcomes]
     assert kinds == [connections.NoAnswer, clients.Report], outcomes
     assert until is not None and until < 1e6, until
@@ -316,7 +316,8 @@
             made.append(odd_answers.vary(rng, document))
 
         def exchange(self, *words, made=made, **fields):
-            # A list that never ends would be read for ever.
+            # Only the first page is odd: an endless list would be read for
+            # ever.
             body = made.pop(0) if made and "/hold" not in words else b""
             if "/hold" in words:
                 body = made[0]
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -305,7 +305,7 @@
     session = worker_sessions.WorkerSession(
         context.owner, context.worker, client
     )
-    session._take_outcome(session._hold())
+    session._handle_outcome(session._hold())
 
 
 @behave.then("by that refusal the owner {does}")
--- a/src/rackvalve/manager/worker_registry.py
+++ b/src/rackvalve/manager/worker_registry.py
@@ -1,4 +1,8 @@
-"""Follows the entries of workers and keeps a contact with each of them."""
+"""Registry of one owner's workers, with a session for each of them.
+
+The owner's watch over the workers' entries feeds it, and the owner sends
+orders to workers through it.
+"""
 
 from __future__ import annotations
 
@@ -27,14 +31,20 @@
 
 
 class WorkerRegistry:
-    """The workers of one owner.
+    """Applies workers' entries to the book and opens and closes sessions.
 
-    :param owner: Whom contacts tell what workers say.
+    :param owner: Receives the reports and answers of workers.
     :param book: The owner's book.
-    :param on_change: Called after workers came, changed or went.
+    :param on_change: Called after workers were added, changed or removed.
     """
 
-    __slots__ = ("_owner", "_book", "_on_change", "_sessions", "_early")
+    __slots__ = (
+        "_owner",
+        "_book",
+        "_on_change",
+        "_sessions",
+        "_pending_stops",
+    )
 
     def __init__(
         self,
@@ -47,14 +57,14 @@
         self._book = book
         self._on_change = on_change
         self._sessions: dict[str, worker_sessions.WorkerSession] = {}
-        # Orders to stop runs on workers whose entries are not there yet: an
-        # entry may be away for some seconds while its worker runs on.
-        self._early: dict[str, list[messages.StopRun]] = {}
+        # Orders to stop runs on workers without a session: an entry may be
+        # missing for some seconds while its worker goes on.
+        self._pending_stops: dict[str, list[messages.StopRun]] = {}
 
     def find_session(
         self, identity: str
     ) -> worker_sessions.WorkerSession | None:
-        """Return the contact with a worker.
+        """Return the session with a worker; ``None`` if there is none.
 
         :param identity: The worker.
         """
@@ -64,46 +74,46 @@
         """Send an order to its worker; keep a stop until it has an entry.
 
         :param order: The order.
-        :return: Whether there is a contact with the worker.
+        :return: Whether there is a session with the worker.
         """
         session = self._sessions.get(order.worker)
         if session is not None:
             session.send(order)
             return True
         if isinstance(order, messages.StopRun):
-            self._early.setdefault(order.worker, []).append(order)
+            self._pending_stops.setdefault(order.worker, []).append(order)
         return False
 
     def close(self) -> None:
-        """End all contacts; what runs on workers runs on."""
+        """Close all sessions; runs on workers go on."""
         for session in self._sessions.values():
             session.close()
         self._sessions.clear()
 
     def apply_range(self, items: tuple[stores.Item, ...]) -> None:
-        """Take all entries, at first and after lost history.
+        """Apply all entries, at first and after the store lost its history.
 
         :param items: All entries.
         """
         present = set()
         for item in items:
-            self._take(item)
+            self._apply_entry(item)
             present.add(documents.worker_of(item.key))
         now = clocks.read_steady()
         for worker in self._book.workers.values():
             name = worker.life.worker
             if worker.entry is not None and name not in present:
                 self._book.remove_entry(name, now)
-        self._ask_recorded(now)
+        self._open_recorded(now)
         self._on_change()
 
     def apply_changes(self, changes: stores.Changes) -> None:
-        """Take entries that were just written or removed.
+        """Apply entries that were just written or removed.
 
         :param changes: The changes.
         """
         for item in changes.written:
-            self._take(item)
+            self._apply_entry(item)
         now = clocks.read_steady()
         written = {item.key: item.revision for item in changes.written}
         for key, revision in changes.removed:
@@ -114,12 +124,12 @@
     def end_incarnation(
         self, identity: str, reason: str
     ) -> releases.Release | None:
-        """Forget a worker whose life is over.
+        """Forget a worker's incarnation that is over.
 
         :param identity: The worker.
-        :param reason: What proves it.
-        :return: The runs that are over by that; ``None`` for a worker that
-            is not known.
+        :param reason: How it is known to be over.
+        :return: The runs that are over with it; ``None`` for an unknown
+            worker.
         """
         self.forget(identity)
         worker = self._book.workers.get(identity)
@@ -142,23 +152,23 @@
         return release
 
     def forget(self, identity: str) -> None:
-        """End the contact with a life that is over.
+        """Close the session with an incarnation that is over.
 
-        :param identity: The life.
+        :param identity: The incarnation.
         """
-        self._early.pop(identity, None)
+        self._pending_stops.pop(identity, None)
         self._owner.fences.forget(identity)
         session = self._sessions.pop(identity, None)
         if session is not None:
-            # May be called by one of the contact's own greenlets.
+            # In another greenlet, as one of the session's own may call this.
             gevent.spawn(session.close)
 
     def switch_incarnation(
         self, worker: workers.WorkerState, born: int
     ) -> None:
-        """Ask the life that answers in place of another one.
+        """Open a session with the incarnation that replaces another one.
 
-        :param worker: The earlier one.
+        :param worker: The earlier incarnation.
         :param born: When the later one began, in milliseconds since 1970.
         """
         now = clocks.read_steady()
@@ -177,7 +187,7 @@
             self._open_session(later, later.location)
 
     def forget_lost_workers(self, now: float) -> None:
-        """Forget workers that have left: no entry, no answer, no lease.
+        """Forget workers without an entry, an answer, a run and a lease.
 
         :param now: Present time, in seconds.
         """
@@ -194,13 +204,13 @@
                     identity, "its entry is gone, it is silent"
                 )
 
-    def _ask_recorded(self, now: float) -> None:
-        """Open contacts with workers that only jobs' records name.
+    def _open_recorded(self, now: float) -> None:
+        """Open sessions with workers that only jobs' records name.
 
-        Their entries are gone, perhaps with them.  The worker itself, or
-        another life at its address, can still tell what became of the runs;
-        else each owner in turn would wait for the longest lease that an
-        earlier one may have given.
+        Their entries are missing and they may have ended.  The worker, or
+        another incarnation at its address, can still report what became of
+        the runs; otherwise each owner in turn would wait for the longest lease
+        that an earlier one may have granted.
         """
         for identity, worker in self._book.workers.items():
             if worker.entry is not None or worker.location is None:
@@ -220,10 +230,10 @@
     def _open_session(
         self, worker: workers.WorkerState, location: progress.Location
     ) -> worker_sessions.WorkerSession:
-        """Begin to ask a worker.
+        """Open the session with a worker.
 
         :param worker: The worker.
-        :param location: Where it can be asked.
+        :param location: Address of the worker.
         """
         client = clients.Worker(
             location.host,
@@ -232,7 +242,8 @@
             timeout=timing.ORDER_TIMEOUT_S,
         )
         if len(self._book.names.find(worker.life.worker)) > 1:
-            # Calls to the lives before do nothing at this one.
+            # A greater token, so that this incarnation rejects calls that
+            # were sent to earlier ones.
             self._owner.fences.raise_for(
                 worker, self._owner.committed_revision
             )
@@ -241,28 +252,28 @@
         session.start()
         return session
 
-    def _take(self, item: stores.Item) -> None:
+    def _apply_entry(self, item: stores.Item) -> None:
         try:
             entry = documents.read_worker(item.key, item.payload)
         except errors.DocumentInvalidError as error:
             logs.write_warning(
                 "document.rejected", key=item.key, reason=error.reason
             )
-            # It names no worker to use; a life that had a good one before
-            # is not over by that.
+            # The worker gets no work, but an incarnation that had a valid
+            # entry before is not over.
             name = documents.worker_of(item.key)
             self._book.remove_entry(name, clocks.read_steady())
             return
-        self._log(entry, item.revision)
+        self._log_entry(entry, item.revision)
         worker = self._book.set_entry(entry)
         name = worker.life.worker
         self._book.remove_entry(name, clocks.read_steady(), besides=worker)
         if worker.identity not in self._sessions:
             session = self._open_session(worker, entry.location)
-            for order in self._early.pop(worker.identity, []):
+            for order in self._pending_stops.pop(worker.identity, []):
                 session.send(order)
 
-    def _log(self, entry: fleet.Entry, revision: int) -> None:
+    def _log_entry(self, entry: fleet.Entry, revision: int) -> None:
         known = self._book.workers.get(entry.identity)
         if known is None or known.entry is None:
             logs.write_event(
--- a/src/rackvalve/manager/worker_session.py
+++ b/src/rackvalve/manager/worker_session.py
@@ -1,4 +1,8 @@
-"""The traffic with one life of a worker: holds and orders."""
+"""Session with one incarnation of a worker: holds and orders.
+
+The owner's worker registry opens one for each worker.  A hold is a long poll:
+the worker answers with a report when a run ends or the wait is over.
+"""
 
 from __future__ import annotations
 
@@ -29,15 +33,15 @@
 _ORDERED = progress.Stage.ORDERED
 _NoAnswer = connections.NoAnswer
 T = TypeVar("T")
-# An order to stop a run that no record names is not repeated for ever; the
-# next report asks for it again.
-STRAY_TRIES = 3
+# Attempts to stop a run that no record names: the next report leads to another
+# order.
+STRAY_STOP_ATTEMPTS = 3
 
 
 class WorkerSession:
-    """Holds one worker and sends it orders, until it is closed.
+    """Holds one worker and sends it orders until the session is closed.
 
-    :param owner: Whom to tell what the worker says.
+    :param owner: Receives the worker's reports and answers.
     :param worker: The worker.
     :param client: The client of the worker.
     """
@@ -54,33 +58,33 @@
         self._clock = worker_clock.WorkerClock()
         self._orders: gevent_queue.SimpleQueue = gevent_queue.SimpleQueue()
         self._greenlets = greenlet_pools.Group()
-        self._answering = True
-        self._lost = False
-        # Holds in a row that were not answered.
-        self._silent = 0
+        self._is_answering = True
+        self._is_lost = False
+        # Consecutive holds without an answer.
+        self._unanswered = 0
         # When the last hold was sent.
-        self._sent = 0.0
-        # How long beyond its wait the next one is given, in seconds.
-        self._patience = timing.ORDER_TIMEOUT_S
-        # How long beyond its wait the last ones took, in seconds.
-        self._late = 0.0
+        self._sent_at = 0.0
+        # Timeout of the next hold beyond its wait, in seconds.
+        self._hold_timeout = timing.ORDER_TIMEOUT_S
+        # Decaying maximum of the answers' delays beyond the wait, in seconds.
+        self._delay = 0.0
 
     def start(self) -> None:
-        """Start to hold and to send."""
+        """Start the greenlets that hold the worker and send orders."""
         self._greenlets.spawn(self._guard, self._hold_forever)
         for _ in range(timing.ORDER_SENDERS):
             self._greenlets.spawn(self._guard, self._send_forever)
 
     def close(self) -> None:
-        """End all traffic with the worker."""
+        """Stop the greenlets and close the client."""
         self._greenlets.kill(block=False)
         self._client.close()
 
     def send(self, order: messages.Order) -> None:
-        """Send an order soon.
+        """Send an order in another greenlet.
 
-        A stop waits for no other order: starts that a worker does not answer
-        may keep all senders.
+        A stop does not queue behind other orders: unanswered starts may keep
+        all senders busy.
 
         :param order: The order.
         """
@@ -94,8 +98,8 @@
         try:
             function()
         except Exception:
-            # The book may be half changed; another process goes on from the
-            # records.
+            # The book may be half changed; another process takes over, from
+            # the records in the store.
             logs.write_failure("task.failed", message=self._worker.identity)
             self._owner.depose("an unexpected error; see task.failed")
 
@@ -103,22 +107,25 @@
         while True:
             outcome = self._hold()
             if isinstance(outcome, clients.Report):
-                self._take_report(outcome)
+                self._apply_report(outcome)
                 self._wait_for_record()
-                self._silent = 0
+                self._unanswered = 0
             else:
-                self._take_outcome(outcome)
-                gevent.sleep(self._choose_pause())
+                self._handle_outcome(outcome)
+                gevent.sleep(self._choose_retry_delay())
 
-    def _choose_pause(self) -> float:
-        """Return how long to wait before a silent worker is asked again.
+    def _choose_retry_delay(self) -> float:
+        """Return the delay before the next hold of a silent worker.
 
-        One that only records name is mostly gone, and there may be many.
+        Workers without an entry or runs are mostly gone, and there may be
+        many, so their delay grows exponentially.
         """
         if self._worker.runs and self._worker.entry is not None:
             return timing.ORDER_RETRY_DELAY_S
-        self._silent += 1
-        longer: float = timing.ORDER_RETRY_DELAY_S * 2 ** min(self._silent, 10)
+        self._unanswered += 1
+        longer: float = timing.ORDER_RETRY_DELAY_S * 2 ** min(
+            self._unanswered, 10
+        )
         return min(timing.MAX_HOLD_RETRY_DELAY_S, longer)
 
     def _hold(self) -> clients.Report | clients.Outcome:
@@ -126,38 +133,39 @@
         shown = self._clock.read(now)
         until = None
         wait = timing.HOLD_WAIT_S
-        if shown is None or not self._answering:
-            # Until it is answered no lease is extended.
+        if shown is None or not self._is_answering:
+            # No lease is extended before the next answer, so get it at once.
             wait = 0.0
         elif self._owner.may_extend(now):
             until = shown + timing.WORKER_LEASE_S
             self._worker.note_extension(now, timing.WORKER_LEASE_S)
         if self._worker.unrecorded:
-            # The store has not taken the last ends; they come again at once.
+            # The store lacks the last ends, so the worker reports them again
+            # at once anyway.
             wait = 0.0
-        self._sent = now
+        self._sent_at = now
         outcome = self._call(
             self._client.hold,
             lease_until=until,
             acknowledged=self._worker.acknowledged(self._owner.durable),
             wait=wait,
-            timeout=self._patience,
+            timeout=self._hold_timeout,
         )
-        self._patience = timing.MAX_HOLD_TIMEOUT_S
+        self._hold_timeout = timing.MAX_HOLD_TIMEOUT_S
         if isinstance(outcome, clients.Report):
-            late = clocks.read_steady() - now - wait
-            # An answer that an end cut short seems less late than it is.
-            self._late = max(late, self._late / 2)
-            self._patience = _choose_patience(self._late)
-            # A worker that is late with these is as late with orders.
-            self._client.timeout = self._patience
+            delay = clocks.read_steady() - now - wait
+            # A run's end during the wait makes the delay seem smaller.
+            self._delay = max(delay, self._delay / 2)
+            self._hold_timeout = _choose_hold_timeout(self._delay)
+            # A worker that answers holds late answers orders as late.
+            self._client.timeout = self._hold_timeout
         return outcome
 
     def _call(self, call: Callable[..., T], **fields: object) -> T | _NoAnswer:
-        """Make one call, and take what its answer tells of the clock.
+        """Make one call and note the worker's clock from its answer.
 
-        An error that nobody expected is this worker's silence: it has changed
-        nothing, and would meet the next owner as well.
+        An unexpected error counts as no answer: it has changed nothing, and
+        the next owner would meet it as well.
         """
         least = self._clock.find_least(clocks.read_steady())
         fence = self._owner.fences.find(self._worker)
@@ -172,11 +180,11 @@
             self._clock.note(outcome.clock, clocks.read_steady())
         return outcome
 
-    def _take_report(self, report: clients.Report) -> None:
+    def _apply_report(self, report: clients.Report) -> None:
         now = clocks.read_steady()
-        self._answering = True
-        if self._lost:
-            self._lost = False
+        self._is_answering = True
+        if self._is_lost:
+            self._is_lost = False
             logs.write_event(
                 "dependency.regained",
                 dependency="worker",
@@ -185,7 +193,7 @@
         self._owner.apply_report(
             self._worker,
             messages.Report(
-                sent=self._sent,
+                sent=self._sent_at,
                 running=report.running,
                 ended=report.ended,
                 clock=report.clock,
@@ -194,7 +202,7 @@
         )
 
     def _wait_for_record(self) -> None:
-        """Let the ends of the last report come into the store first."""
+        """Wait until the store has the ended runs of the last report."""
         until = clocks.read_steady() + timing.RECORD_WAIT_S
         while True:
             self._worker.acknowledged(self._owner.durable)
@@ -203,10 +211,10 @@
                 return
             self._owner.wait_for_commit(left)
 
-    def _take_outcome(self, outcome: clients.Outcome) -> None:
-        """Act on an answer that is no report."""
+    def _handle_outcome(self, outcome: clients.Outcome) -> None:
+        """Handle an answer that is no report, or a missing answer."""
         if isinstance(outcome, clients.OtherLife):
-            self._leave_life(outcome)
+            self._switch_incarnation(outcome)
             return
         if isinstance(outcome, clients.Rejected):
             is_fenced = outcome.reason is clients.Reason.FENCED
@@ -215,18 +223,18 @@
                     f"worker {self._worker.identity} has a greater token"
                 )
             return
-        if not self._lost:
-            self._lost = True
+        if not self._is_lost:
+            self._is_lost = True
             logs.write_warning(
                 "dependency.lost",
                 dependency="worker",
                 worker=self._worker.identity,
                 reason=str(outcome),
             )
-        self._answering = False
+        self._is_answering = False
 
-    def _leave_life(self, other: clients.OtherLife) -> None:
-        """Have the owner turn to the life that answers instead."""
+    def _switch_incarnation(self, other: clients.OtherLife) -> None:
+        """Have the owner go on with the incarnation that answers instead."""
         if other.clock is None:
             self._owner.end_incarnation(
                 self._worker.identity, "another life answers"
@@ -234,10 +242,10 @@
             return
         born = other.born
         if born is None:
-            # It tells none; its clock began with it.
+            # The answer has no start time, but the clock counts from it.
             born = int((clocks.read_wall() - other.clock) * 1000)
         if not self._worker.established:
-            # Even one that tells another birth each time costs few calls.
+            # Limits the calls if each answer names another start time.
             gevent.sleep(timing.ORDER_RETRY_DELAY_S)
         self._owner.switch_incarnation(self._worker, born)
 
@@ -246,7 +254,7 @@
             _send_order(self._orders.get(), self)
 
     def start_run(self, order: messages.StartRun) -> None:
-        """Have the worker start a run; tell the owner what became of it.
+        """Have the worker start a run and tell the owner the result.
 
         :param order: The order.
         """
@@ -257,42 +265,44 @@
         while True:
             placed = self._worker.runs.get(key)
             if placed is None or placed.run.stage is not _ORDERED:
-                # It is over, is to be stopped, or a report has listed it.
+                # The run is over, is to be stopped, or was reported.
                 return
             if until is None:
-                until = self._lease_until()
+                until = self._grant_lease()
             outcome = self._try_start(placed, until)
-            result = self._judge_start(outcome, uncertain)
+            result = self._interpret_start(outcome, uncertain)
             if result is not None:
                 self._owner.apply_start_result(placed, result, uncertain)
                 return
             if isinstance(outcome, connections.NoAnswer) and outcome.sent:
                 uncertain = True
-            if uncertain and self._is_given_up(began):
+            if uncertain and self._has_timed_out(began):
                 unwell = messages.StartResult.UNWELL
                 self._owner.apply_start_result(placed, unwell, uncertain)
                 return
             if isinstance(outcome, clients.Rejected):
-                # Its lease is over on the worker's clock; ask for a new one.
+                # The lease has expired by the worker's clock; grant another.
                 until = None
             gevent.sleep(timing.ORDER_RETRY_DELAY_S)
 
-    def _is_given_up(self, began: float) -> bool:
-        """Return whether a start has had no answer for too long.
+    def _has_timed_out(self, began: float) -> bool:
+        """Return whether a start has timed out.
 
-        Only of a worker that answers holds: what is silent in all has its
-        runs proved over by its lease, and a stop would not reach it either.
+        Only if the worker answers holds: on a silent worker the runs are over
+        when their lease expires, and a stop would not reach it either.
         """
         waited = clocks.read_steady() - began
-        return self._answering and waited > timing.START_TIMEOUT_S
+        return self._is_answering and waited > timing.START_TIMEOUT_S
+
+    def _grant_lease(self) -> float | None:
+        """Grant a lease from now on; return its end on the worker's clock.
 
-    def _lease_until(self) -> float | None:
-        """Return the end of a lease that begins now, on the worker's clock.
+        A retried order keeps its lease: a new one would postpone the time at
+        which the runs of a silent worker are known to be over.  An owner that
+        may have been deposed grants none: its successor waits only for leases
+        that may have been granted until then.
 
-        An order that is tried again keeps its lease: each new one would put
-        off the time at which a silent worker's runs are proved over.  An
-        owner that may have been deposed gives none: its successor waits for
-        what may have been given until then, and no longer.
+        :return: The end in seconds; ``None`` if no lease can be granted.
         """
         now = clocks.read_steady()
         shown = self._clock.read(now)
@@ -316,10 +326,10 @@
             ticket=placed.run.ticket,
         )
 
-    def _judge_start(
+    def _interpret_start(
         self, outcome: clients.Outcome, uncertain: bool
     ) -> messages.StartResult | None:
-        """Return what an answer comes to; ``None`` to try again."""
+        """Return the result of a start by its answer; ``None`` to retry."""
         if isinstance(outcome, clients.Done):
             return messages.StartResult.STARTED
         if isinstance(outcome, clients.Unwell):
@@ -333,7 +343,7 @@
             if not outcome.sent and not uncertain:
                 return messages.StartResult.NOT_SENT
             return None
-        self._take_outcome(outcome)
+        self._handle_outcome(outcome)
         return None
 
     def stop_run(self, order: messages.StopRun) -> None:
@@ -342,9 +352,9 @@
         :param order: The order.
         """
         key = (order.task, order.run)
-        tries = 0
-        while key in self._worker.runs or tries < STRAY_TRIES:
-            tries += 1
+        attempts = 0
+        while key in self._worker.runs or attempts < STRAY_STOP_ATTEMPTS:
+            attempts += 1
             outcome = self._call(
                 self._client.stop,
                 task=order.task,
@@ -356,11 +366,11 @@
             if isinstance(outcome, clients.Malformed):
                 return
             if not isinstance(outcome, (connections.NoAnswer, clients.Unwell)):
-                self._take_outcome(outcome)
+                self._handle_outcome(outcome)
             gevent.sleep(timing.ORDER_RETRY_DELAY_S)
 
     def set_pace(self, order: messages.SetPace) -> None:
-        """Have a run work at a share of its speed; the next report corrects.
+        """Set the pace of a run, once; a failure is corrected by a report.
 
         :param order: The order.
         """
@@ -373,7 +383,7 @@
         if not isinstance(outcome, clients.Done):
             placed = self._worker.runs.get((order.task, order.run))
             if placed is not None:
-                # The next report sends another one.
+                # The next report leads to another order.
                 placed.run.pace = None
             logs.write_warning(
                 "order.failed",
@@ -384,12 +394,12 @@
             )
 
 
-def _choose_patience(late: float) -> float:
-    """Return how long beyond its wait a hold is given, in seconds.
+def _choose_hold_timeout(delay: float) -> float:
+    """Return the timeout of a hold beyond its wait, in seconds.
 
-    :param late: How long beyond its wait the last one took, in seconds.
+    :param delay: How late the last answers were, in seconds.
     """
-    longer = max(timing.ORDER_TIMEOUT_S, late * timing.HOLD_TIMEOUT_FACTOR)
+    longer = max(timing.ORDER_TIMEOUT_S, delay * timing.HOLD_TIMEOUT_FACTOR)
     return min(timing.MAX_HOLD_TIMEOUT_S, longer)
 
 
@@ -398,7 +408,7 @@
     """Send one order.
 
     :param order: The order.
-    :param session: Traffic with the worker.
+    :param session: Session with the worker.
     """
     raise TypeError(f"no sender for {order!r}")
 
