--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -1,8 +1,8 @@
-"""The owner: loads the jobs, schedules them, and records what happens.
+"""The owner loads the jobs, schedules them and records what happens.
 
-An owner lives from the taking of its fencing token until it is deposed.  All
-it knows is in its book; all that must last is in the store before a worker
-hears of it.
+The election creates an owner for a fencing token; the owner works until it is
+deposed or stopped.  Its state is in its book.  What must survive it is in the
+store before a worker is told.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 from rackvalve.scheduling import workers
 from rackvalve import telemetry as telemetries
 
-# What an earlier owner may have extended just before it lost its rights.
+# Longest remaining lease that an earlier owner may have granted to a worker.
 MAX_INHERITED_LEASE_S = (
     timing.EXTENSION_LIMIT_S
     + timing.WORKER_LEASE_S * (1 + workers.CLOCK_TOLERANCE)
@@ -52,13 +52,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Resources:
-    """What owners of this process use.
+    """Clients and other objects that the owners of this process share.
 
     :param store: The store.
     :param machines: The platform's interface to its VMs.
-    :param adviser: The service that admits workers; ``None`` without one.
-    :param view: The operator's orders.
-    :param telemetry: Counts what happens.
+    :param adviser: The admission service; ``None`` without one.
+    :param view: The operator's configuration and orders.
+    :param telemetry: Metrics.
     :param on_contact: Called at each answer of the store.
     """
 
@@ -72,15 +72,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Durations:
-    """Times from the settings.
+    """Durations from the settings.
 
     :param keep: How long ended jobs are kept, in seconds.
-    :param order_pause: Time without orders to VMs after the taking of the
-        token, in seconds.
-    :param pace_interval: Least time between two changes of a run's pace, in
-        seconds.
-    :param stop_time: How long a worker takes at most to stop a run, in
-        seconds.
+    :param order_pause: How long VMs with an order of an earlier owner get
+        none, in seconds.
+    :param pace_interval: Shortest interval between changes of a run's pace,
+        in seconds.
+    :param stop_time: Longest time a worker takes to stop a run, in seconds.
     """
 
     keep: float
@@ -92,8 +91,8 @@
 class Owner:
     """Schedules all pools while it holds the ownership.
 
-    :param resources: What it uses.
-    :param durations: Times from the settings.
+    :param resources: Shared clients.
+    :param durations: Durations from the settings.
     :param configuration: The operator's configuration.
     :param fence: Fencing token.
     """
@@ -111,12 +110,12 @@
         self.fence = fence
         self.deposed = ""
         self._greenlets = greenlet_pools.Group()
-        self._wanted = event.Event()
-        self._heard = clocks.read_steady()
+        self._plan_wanted = event.Event()
+        self._confirmed_at = clocks.read_steady()
         self._book = books.Book(
             configuration,
             inherited_lease=MAX_INHERITED_LEASE_S,
-            now=self._heard,
+            now=self._confirmed_at,
         )
         self._handler = reports.Handler(
             self._book,
@@ -137,15 +136,15 @@
         )
         self.fences = fences.Fences(fence)
         self._registry = worker_registries.WorkerRegistry(
-            self, self._book, on_change=self._wanted.set
+            self, self._book, on_change=self._plan_wanted.set
         )
-        # Follows what callers hand in and cancel, once it is loaded.
-        self._jobs: watchers.Watcher
+        # Watches the jobs that callers submit and cancel; set by _load.
+        self._job_watcher: watchers.Watcher
         self._writer = writers.Writer(
             resources.store,
             stores.Condition(key=election.TERM_KEY, revision=fence),
             on_deposed=self.depose,
-            on_contact=self._note_store,
+            on_contact=self._note_commit,
             spawn=self._spawn,
         )
         self._recorder = recorders.Recorder(
@@ -167,18 +166,18 @@
         return self._writer.committed_revision
 
     def wait_for_commit(self, timeout: float) -> None:
-        """Wait until something more may be in the store.
+        """Wait until further writes may be in the store.
 
         :param timeout: Longest wait, in seconds.
         """
         self._writer.wait(timeout)
 
     def start(self) -> None:
-        """Load the jobs and begin, in greenlets of its own."""
+        """Load the jobs and begin to schedule, in greenlets of the owner."""
         self._spawn(self._run)
 
     def stop(self, reason: str) -> None:
-        """End all work at once; what runs on workers runs on.
+        """Stop all greenlets at once; runs on workers go on.
 
         :param reason: Why, for logs.
         """
@@ -190,7 +189,7 @@
         gevent.killall(others, block=False)
 
     def depose(self, reason: str) -> None:
-        """Note that another owner has taken over.
+        """Note that this owner has lost the ownership.
 
         :param reason: How that was learned.
         """
@@ -201,13 +200,13 @@
         self.deposed = self.deposed or reason
 
     def note_confirmation(self, now: float) -> None:
-        """Note that the store knew this process as the owner.
+        """Note that the store confirmed the ownership.
 
-        :param now: When the call that told so was sent, in seconds: the next
-            owner counts from its own taking on, which may lie between that
-            and the answer.
+        :param now: When the confirmed call was sent, in seconds.  The answer's
+            time would be too late: the next owner may have taken the
+            ownership in between and counts from then.
         """
-        self._heard = max(self._heard, now)
+        self._confirmed_at = max(self._confirmed_at, now)
 
     def may_extend(self, now: float) -> bool:
         """Return whether leases on workers may still be extended.
@@ -215,10 +214,11 @@
         :param now: Present time, in seconds.
         """
         return (
-            not self.deposed and now - self._heard <= timing.EXTENSION_LIMIT_S
+            not self.deposed
+            and now - self._confirmed_at <= timing.EXTENSION_LIMIT_S
         )
 
-    # -- told by contacts --------------------------------------------------
+    # -- called by worker sessions -----------------------------------------
 
     def apply_report(
         self, worker: workers.WorkerState, report: messages.Report, now: float
@@ -233,7 +233,7 @@
             return
         first = not worker.established
         self._handler.take(worker, report, now=now, wall=clocks.read_wall())
-        self._forget_lives()
+        self._forget_ended()
         if first:
             logs.write_event(
                 "worker.established",
@@ -249,7 +249,7 @@
         self._reporter.log_ends()
         self._recorder.mark_changed()
         worker.note_write(self._writer.number)
-        self._wanted.set()
+        self._plan_wanted.set()
 
     def apply_start_result(
         self,
@@ -257,11 +257,11 @@
         result: messages.StartResult,
         uncertain: bool,
     ) -> None:
-        """Apply what became of an order to start a run.
+        """Apply the result of an order to start a run.
 
         :param placed: The run.
-        :param result: What the worker said.
-        :param uncertain: Whether an earlier try may still be carried out.
+        :param result: The worker's answer.
+        :param uncertain: Whether an earlier attempt may still take effect.
         """
         if self.deposed:
             return
@@ -280,18 +280,18 @@
             placed, result, uncertain=uncertain, now=clocks.read_steady()
         )
         self._reporter.log_begun()
-        self._wanted.set()
+        self._plan_wanted.set()
 
     def confirm_stop(self, worker: str, key: workers.RunKey) -> None:
-        """Note that a worker has taken an order to stop a run.
+        """Note that a worker has accepted an order to stop a run.
 
         :param worker: Identity of the worker.
         :param key: Full name of the task and number of the run.
         """
         self._book.take_stop(worker, key, clocks.read_steady())
 
-    def _forget_lives(self) -> None:
-        """Have nothing more to do with lives that later ones have ended."""
+    def _forget_ended(self) -> None:
+        """Forget incarnations that were replaced by later ones."""
         for release in self._handler.released:
             self._registry.forget(release.worker)
             self._reporter.log_release(release)
@@ -300,25 +300,25 @@
     def switch_incarnation(
         self, worker: workers.WorkerState, born: int
     ) -> None:
-        """Turn to the life that answers in place of an earlier one.
+        """Go on with the incarnation that answers in place of an earlier one.
 
-        :param worker: The earlier one.
+        :param worker: The earlier incarnation.
         :param born: When the later one began, in milliseconds since 1970.
         """
         if not self.deposed:
             self._registry.switch_incarnation(worker, born)
 
     def end_incarnation(self, identity: str, reason: str) -> None:
-        """Forget a worker whose life is over.
+        """Forget a worker's incarnation that is over.
 
         :param identity: The worker.
-        :param reason: What proves it.
+        :param reason: How it is known to be over.
         """
         release = self._registry.end_incarnation(identity, reason)
         if release is not None:
             self._reporter.log_release(release)
 
-    # -- beginning ---------------------------------------------------------
+    # -- loading -----------------------------------------------------------
 
     def _spawn(self, function: Callable[[], None]) -> None:
         self._greenlets.spawn(self._guard, function)
@@ -327,15 +327,15 @@
         try:
             function()
         except Exception:
-            # Another process goes on from the records.
+            # Another process takes over, from the records in the store.
             name = getattr(function, "__qualname__", repr(function))
             logs.write_failure("task.failed", message=name)
             self.depose("an unexpected error; see task.failed")
 
     def _run(self) -> None:
         watches = self._load()
-        # Before anything is placed: on some VMs nothing may be.
-        controller = self._load_vms()
+        # Before the first plan: on some VMs nothing may be placed.
+        controller = self._load_controller()
         for watcher in watches:
             self._spawn(watcher.run)
         self._spawn(self._writer.run)
@@ -345,29 +345,30 @@
                 self._resources.adviser,
                 self._book,
                 self._planner,
-                on_change=self._wanted.set,
+                on_change=self._plan_wanted.set,
             ).run
         )
         self._plan_forever()
 
     def _load(self) -> list[watchers.Watcher]:
-        """Read all records and workers.
+        """Read all jobs and workers.
 
-        :return: The watches that go on from there.
+        :return: The watchers that follow later changes.
         """
         began = clocks.read_steady()
-        # Read before the definitions: a job may gain a definition between the
-        # two readings, but no progress, which only this owner writes.
+        # Progress is read before the definitions: between the two reads a
+        # definition may be added, but no progress, as only this owner
+        # writes that.
         known = self._read_all(records.PROGRESS_PREFIX)
         self._writer.load_revisions(known)
         intake = intakes.JobIntake(
             self._book, known, on_change=self._note_intake
         )
-        self._jobs = self._watch(
+        self._job_watcher = self._watch(
             records.PREFIX, intake.apply_range, intake.apply_changes
         )
         watches = [
-            self._jobs,
+            self._job_watcher,
             self._watch(
                 documents.WORKER_PREFIX,
                 self._registry.apply_range,
@@ -408,7 +409,7 @@
                 return found.items
             gevent.sleep(timing.STORE_RETRY_DELAY_S)
 
-    def _load_vms(self) -> vm_controllers.VmController:
+    def _load_controller(self) -> vm_controllers.VmController:
         controller = vm_controllers.VmController(
             self._resources.machines,
             self._resources.view,
@@ -418,7 +419,7 @@
             telemetry=self._telemetry,
             order_pause=self._durations.order_pause,
             spawn=self._spawn,
-            on_change=self._wanted.set,
+            on_change=self._plan_wanted.set,
         )
         items: list[stores.Item] = []
         for prefix in vm_controllers.PREFIXES:
@@ -426,36 +427,36 @@
         controller.load(tuple(items))
         return controller
 
-    def _note_store(self, sent: float) -> None:
-        """Note that a commit under the ownership was answered.
+    def _note_commit(self, sent: float) -> None:
+        """Note a commit's answer, which confirms the ownership.
 
-        :param sent: When it was sent, in seconds.
+        :param sent: When the commit was sent, in seconds.
         """
         self.note_confirmation(sent)
         self._resources.on_contact()
 
     def _note_intake(self) -> None:
         self._recorder.mark_changed()
-        self._wanted.set()
+        self._plan_wanted.set()
 
     # -- planning ----------------------------------------------------------
 
     def _plan_forever(self) -> None:
         checked = planned = 0.0
         while not self.deposed:
-            self._wanted.wait(timing.CHECK_INTERVAL_S)
-            # What comes within a moment is planned together; the first of it
-            # does not wait.
+            self._plan_wanted.wait(timing.CHECK_INTERVAL_S)
+            # Changes within the interval are planned together; the first one
+            # after a longer pause is planned at once.
             since_plan = clocks.read_steady() - planned
             if since_plan < timing.PLAN_INTERVAL_S:
                 gevent.sleep(timing.PLAN_INTERVAL_S - since_plan)
-            self._wanted.clear()
+            self._plan_wanted.clear()
             now = planned = clocks.read_steady()
             if now - checked >= timing.CHECK_INTERVAL_S:
                 checked = now
                 self._check(now)
             self._planner.plan(now, clocks.read_wall())
-            # Room that is free before a plan is not free after it.
+            # After the plan, which may have taken resources that were free.
             self._reporter.log_standing(now)
             self._recorder.mark_changed()
             self._send_orders()
@@ -470,7 +471,9 @@
             self._reporter.log_release(release)
         self._reporter.log_held(now)
         self._registry.forget_lost_workers(now)
-        self._recorder.publish_waiting(now, wall, self._jobs.confirmed_at)
+        self._recorder.publish_waiting(
+            now, wall, self._job_watcher.confirmed_at
+        )
         self._recorder.collect(now, wall)
 
     def _send_orders(self) -> None:
@@ -479,7 +482,8 @@
             if self._registry.send(order):
                 self._reporter.log_order(order)
                 continue
-            # A start is freed by its lease's end only; a stop is kept.
+            # A start is undone when its lease expires; the registry keeps a
+            # stop until the worker has an entry.
             logs.write_warning(
                 "order.undeliverable",
                 worker=order.worker,
