--- a/features/steps/caretaker_steps.py
+++ b/features/steps/vm_controller_steps.py
@@ -1,4 +1,4 @@
-"""Steps about orders to VMs and the store's word before them."""
+"""Steps about orders to VMs, which the store confirms first."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class FakeWriter:
-    """Takes marks at once; the clock may jump while it does."""
+    """Commits each record at once; the clock may jump meanwhile."""
 
     def __init__(self, clock, jumps):
         self.clock = clock
@@ -44,7 +44,7 @@
 
 
 class FakeMachines:
-    """Answers orders with what it was given, then with success."""
+    """Answers orders with the given answers, then with success."""
 
     def __init__(self, answers, writer):
         self.answers = answers
@@ -60,7 +60,7 @@
     def move(self, vm, pool, fence):
         if self.answers:
             return self.answers.pop(0)
-        # The owner ends before there is an answer.
+        # The owner ends before the answer.
         raise gevent.GreenletExit
 
 
@@ -96,12 +96,12 @@
     with mock.patch.object(
         vm_controller.clocks, "read_steady", context.read_steady
     ):
-        context.controller._order(
+        context.controller._send_order(
             "w0", lambda: context.machines.maintain("w0", 1, 7)
         )
         context.clock["now"] += 2.0
         context.controller._ordered["w1"] = None
-        context.payload = context.controller._make_ordered().payload
+        context.payload = context.controller._make_orders_record().payload
 
 
 @behave.when("another owner takes over, with a pause of 3 seconds")
@@ -146,7 +146,7 @@
     with mock.patch.object(
         vm_controller.clocks, "read_steady", context.read_steady
     ):
-        context.outcome = context.controller._order(
+        context.outcome = context.controller._send_order(
             "w0", lambda: context.machines.maintain("w0", 1, 7)
         )
 
@@ -165,7 +165,7 @@
 
 
 WAVE = fleet.Wave(number=1, vms=("w0",), duration=30.0, most_away=1)
-# How far the time of day goes beyond the steady clock.
+# Jump of the time of day against the steady clock, in seconds.
 JUMPS = {"not jumped": 0, "gone back by 5 s": -5, "jumped ahead by 5 s": 5}
 
 
@@ -189,7 +189,7 @@
     make_controller(context, [], [])
     with mock.patch.object(vm_controller, "clocks", context.clocks):
         context.controller._view.waves[1] = WAVE
-        context.controller._take_waves()
+        context.controller._add_waves()
         context.clocks.steady += 12.0
         context.controller._writer = mock.Mock()
         context.controller._record_waves()
@@ -230,7 +230,7 @@
 
 @behave.given("an owner whose order to maintain a VM is on its way")
 def order_upkeep(context):
-    # The record names no new pool, as that of the release before.
+    # The record names no new pool, like that of the previous release.
     item = stores.Item(
         key=vm_controller.ORDERS_KEY,
         payload=b'{"w0": 0.0}',
@@ -241,7 +241,7 @@
 
 
 def give_orders(context, vm):
-    """Order a VM to move; return what is in the store at that time."""
+    """Order a VM to move; return the records in the store by then."""
     care = context.controller
     care._writer = writer = mock.Mock(number=0, durable=0)
     with mock.patch.object(
@@ -257,7 +257,7 @@
 
 
 def take_over_moves(context):
-    """Begin a new owner with the records of the one before."""
+    """Start a new owner from the records of the previous one."""
     make_controller(context, [], [])
     vms.make_pools(context.bench.book, vms.OTHER)
     context.bench.add(definition.Step(tasks=1, cpu=1, lasting=True))
@@ -268,7 +268,7 @@
 
 
 def place_tasks(context, tenths, life="w0"):
-    """Let the owner work on, and return the tenths in which tasks start."""
+    """Run the owner; return the tenths of a second in which tasks start."""
     found = []
     for tenth in range(tenths):
         context.bench.report(life, context.bench.rows(life))
@@ -280,7 +280,7 @@
             context.clock["now"] += 0.1
             context.bench.now += 0.1
             context.controller._release_held(context.clock["now"])
-            context.controller._forget_ordered(context.clock["now"])
+            context.controller._prune_orders(context.clock["now"])
             context.controller._step(context.clock["now"])
     return found
 
--- a/src/rackvalve/manager/vm_controller.py
+++ b/src/rackvalve/manager/vm_controller.py
@@ -1,4 +1,9 @@
-"""Carries out the orders to VMs: lists them, maintains and moves them."""
+"""Control loop of the VMs: lists them and orders maintenance and moves.
+
+The owner runs it.  The maintenance planner and the pool sizer decide; this
+module carries the decisions out and keeps the records that let the next owner
+go on.
+"""
 
 from __future__ import annotations
 
@@ -26,14 +31,14 @@
 from rackvalve import telemetry as telemetries
 
 PREFIX = "wave/"
-# The VMs that were given orders lately, and the new pools of those that were
-# to move; written before each order, under the condition of the ownership.
-# The next owner gives them no orders for a while, and no work unless it sees
-# that the order was carried out.
+# Recently ordered VMs, and the new pools of those that were to move; committed
+# before each order, on condition of the ownership.  The next owner sends these
+# VMs no orders for the order pause, and no work unless it sees that the order
+# was carried out.
 ORDERS_KEY = PREFIX + "ordered"
 MOVES_KEY = "vms/moves"
 PREFIXES = (PREFIX, MOVES_KEY)
-# Why a VM is closed whose order may still be carried out.
+# Reason of closing a VM whose order may still be carried out.
 UNCERTAIN = "order on its way"
 
 Outcome = clients.Ordered | clients.Rejected | clients.Unavailable
@@ -42,16 +47,16 @@
 class _Record(msgspec.Struct):
     ordered: list[str] = []
     done: list[str] = []
-    # How long the wave had been under way when this was written, in seconds,
-    # and when that was, in seconds since 1970.  Without them each owner gave
-    # the wave its whole time anew (8 of 147 VMs late in a play).
+    # Time since the wave's start when this was written, in seconds, and when
+    # that was, in seconds since 1970.  Without them each owner gave the wave
+    # its whole time again (8 of 147 VMs late).
     elapsed: float = 0.0
     written: float = 0.0
 
     def count_elapsed(self, wall: float) -> float:
-        """Return how long the wave has been under way by now.
+        """Return the time since the wave's start, in seconds.
 
-        Where the time of day has jumped ahead, the wave only hurries.
+        If the time of day has jumped ahead, the wave only ends earlier.
 
         :param wall: Present time, in seconds since 1970.
         """
@@ -61,18 +66,19 @@
 
 
 class VmController:
-    """Gives orders to VMs for one owner.
+    """Sends orders to VMs for one owner.
 
     :param machines: The platform's interface to its VMs.
-    :param view: The operator's orders.
+    :param view: The operator's waves and evacuations.
     :param book: The owner's book.
     :param writer: Writes records.
     :param fence: Fencing token.
-    :param telemetry: Counts orders and sizes.
-    :param order_pause: Time without orders after the taking of the token, in
-        seconds.
+    :param telemetry: Metrics of orders and sizes.
+    :param order_pause: How long VMs with an order of an earlier owner get
+        none, in seconds.
     :param spawn: Runs a function in a greenlet that ends with the owner.
-    :param on_change: Called when workers were closed or stops are wanted.
+    :param on_change: Called when workers may have been closed or runs may
+        have to be stopped.
     """
 
     def __init__(
@@ -100,31 +106,31 @@
         self._silence = silence.Silence(book, self._upkeep)
         self._sizing = sizings.Sizing(book, self._upkeep, self._silence)
         self._order_pause = order_pause
-        # VMs that an earlier owner has given orders to, and until when they
-        # are left alone.
+        # VMs on hold because of an uncertain order or one of an earlier owner,
+        # and until when.
         self._held: dict[str, float] = {}
-        # Those of them of which no list will show whether it was carried out.
+        # Those of them whose order no list of VMs shows to be carried out.
         self._uncertain: set[str] = set()
-        # New pools of the VMs that were ordered to move lately.
+        # New pools of the VMs that were recently ordered to move.
         self._moves: dict[str, str] = {}
-        # VMs that were given orders lately, with the time of the answer;
-        # ``None`` while an order may be on its way.
+        # Recently ordered VMs, with the time of the answer; ``None`` while an
+        # order may be in flight.
         self._ordered: dict[str, float | None] = {}
-        self._listed = float("-inf")
-        self._sizes_logged = float("-inf")
-        self._recorded: dict[int, _Record] = {}
+        self._listed_at = float("-inf")
+        self._sizes_logged_at = float("-inf")
+        self._recorded_waves: dict[int, _Record] = {}
 
     def load(self, items: tuple[stores.Item, ...]) -> None:
-        """Go on where an earlier owner has ended.
+        """Restore the state from the records of earlier owners.
 
         :param items: All items under :data:`PREFIXES`.
         """
-        self._take_waves()
+        self._add_waves()
         moves: dict[str, str] = {}
         for item in items:
             try:
                 if item.key == ORDERS_KEY:
-                    self._hold_ordered(item.payload)
+                    self._hold_inherited(item.payload)
                 elif item.key == MOVES_KEY:
                     moves = msgspec.json.decode(
                         item.payload, type=dict[str, str]
@@ -132,26 +138,26 @@
                 else:
                     self._restore_wave(item)
             except ValueError as error:
-                # Not one of ours; it would stop each owner in turn.
+                # Skip a foreign record, as it would stop each owner in turn.
                 logs.write_warning(
                     "document.rejected", key=item.key, reason=repr(error)
                 )
         self._moves = {vm: moves[vm] for vm in moves.keys() & self._held}
         if self._moves != moves:
-            # One left in the record would pass for an order of this owner's.
-            self._writer.enqueue(MOVES_KEY, self._make_moves)
+            # An old move left in the record would seem to be this owner's.
+            self._writer.enqueue(MOVES_KEY, self._make_moves_record)
         for vm, pool in self._moves.items():
             self._sizing.restore(vm, pool)
         self._uncertain = self._held.keys() - moves.keys()
         for vm in self._held:
-            self._note_order(vm)
-        self._apply_closing()
+            self._mark_ordered_away(vm)
+        self._apply_closures()
 
     def _restore_wave(self, item: stores.Item) -> None:
-        """Go on with a wave that an earlier owner has begun.
+        """Restore a wave that an earlier owner has begun.
 
-        :param item: Its record.
-        :raises ValueError: It is none.
+        :param item: The wave's record.
+        :raises ValueError: If the item is no record of a wave.
         """
         number = int(item.key.removeprefix(PREFIX))
         record = msgspec.json.decode(item.payload, type=_Record)
@@ -164,34 +170,34 @@
         )
 
     def run(self) -> None:
-        """Look after the VMs, until the greenlet is killed."""
+        """Run the control loop until the greenlet is killed."""
         while True:
-            self._take_waves()
+            self._add_waves()
             now = clocks.read_steady()
-            if now - self._listed >= self._choose_list_interval():
-                self._list()
+            if now - self._listed_at >= self._choose_list_interval():
+                self._list_vms()
             self._release_held(now)
-            self._forget_ordered(now)
+            self._prune_orders(now)
             self._step(now)
             gevent.sleep(timing.VM_CONTROL_INTERVAL_S)
 
     def _choose_list_interval(self) -> float:
-        """Return how often the VMs are listed now, in seconds."""
+        """Return the present interval of listing the VMs, in seconds."""
         if self._upkeep.is_busy or self._silence.is_noticed:
             return timing.LIST_BUSY_INTERVAL_S
         if self._sizing.moving:
             return timing.LIST_BUSY_INTERVAL_S
         return timing.LIST_INTERVAL_S
 
-    def _hold_ordered(self, payload: bytes) -> None:
-        """Leave alone what an earlier owner has ordered, for the pause.
+    def _hold_inherited(self, payload: bytes) -> None:
+        """Put VMs with an order of an earlier owner on hold for the pause.
 
-        The record says how long ago each order was answered when it was
-        written, which was before this owner took over.
+        The record holds the time since each answer at the time of writing,
+        which was before this owner took over.
         """
         now = clocks.read_steady()
         ages = msgspec.json.decode(payload, type=dict[str, float])
-        # The record that this owner writes goes on telling of them.
+        # This owner's own record includes them.
         self._ordered = {vm: now - age for vm, age in ages.items()}
         self._held = {
             vm: now + self._order_pause - age for vm, age in ages.items()
@@ -205,23 +211,25 @@
                 self._uncertain.discard(vm)
                 for worker in self._book.lives.find(vm):
                     worker.ordered_away = False
-                # Where the list does not show its move, there was none.
+                # If the list does not show the move, it did not happen.
                 self._sizing.give_up(vm)
         self._upkeep.held = frozenset(self._held)
 
-    def _forget_ordered(self, now: float) -> None:
-        """Have the record forget what was ordered longer ago than the pause.
+    def _prune_orders(self, now: float) -> None:
+        """Remove orders from the record that are older than the pause.
 
-        A record says how old an order was when it was written, and a next
-        owner cannot know how long ago that was.
+        The record holds ages at the time of writing, and the next owner does
+        not know how long ago that was.
         """
-        if self._find_recent(now) != self._ordered:
-            self._writer.enqueue(ORDERS_KEY, self._make_ordered, urgent=False)
+        if self._find_recent_orders(now) != self._ordered:
+            self._writer.enqueue(
+                ORDERS_KEY, self._make_orders_record, urgent=False
+            )
 
-    def _find_recent(self, now: float) -> dict[str, float | None]:
-        """Return the VMs that the next owner has to leave alone.
+    def _find_recent_orders(self, now: float) -> dict[str, float | None]:
+        """Return the VMs that the next owner has to put on hold.
 
-        One whose order was never answered stays until this owner ends.
+        A VM whose order was never answered stays until this owner ends.
         """
         return {
             vm: time
@@ -229,7 +237,7 @@
             if time is None or now - time < self._order_pause
         }
 
-    def _take_waves(self) -> None:
+    def _add_waves(self) -> None:
         for wave in self._view.waves.values():
             if self._upkeep.add_wave(wave, clocks.read_steady()):
                 logs.write_event(
@@ -240,13 +248,13 @@
                     seconds=wave.duration,
                 )
 
-    def _list(self) -> None:
-        self._listed = clocks.read_steady()
+    def _list_vms(self) -> None:
+        self._listed_at = clocks.read_steady()
         found = self._machines.list_vms()
         if isinstance(found, clients.Unavailable):
             logs.write_warning("vms.failed", call="list", reason=found.reason)
             return
-        self._upkeep.take_list(found, self._listed)
+        self._upkeep.take_list(found, self._listed_at)
 
     def _step(self, now: float) -> None:
         for worker in self._silence.look(now):
@@ -263,13 +271,13 @@
             self._spawn(functools.partial(self._maintain, maintain))
         for move in self._sizing.decide(now):
             self._spawn(functools.partial(self._move, move))
-        self._apply_closing()
+        self._apply_closures()
         self._log_sizes(now)
         self._record_waves()
         self._on_change()
 
-    def _apply_closing(self) -> None:
-        """Tell the workers whether they take no work, and why."""
+    def _apply_closures(self) -> None:
+        """Set which VMs are closed and why, in the book and its workers."""
         self._book.set_evacuated(self._view.evacuated)
         later = self._upkeep.later()
         closed = {
@@ -285,9 +293,9 @@
             worker.leaves_later = vm in later
 
     def _log_sizes(self, now: float) -> None:
-        if now - self._sizes_logged < timing.SIZES_LOG_INTERVAL_S:
+        if now - self._sizes_logged_at < timing.SIZES_LOG_INTERVAL_S:
             return
-        self._sizes_logged = now
+        self._sizes_logged_at = now
         for name, size in self._sizing.pools.items():
             self._telemetry.pool_demand.labels(name).set(size.forecast.newest)
             self._telemetry.pool_size.labels(name).set(size.have)
@@ -302,33 +310,34 @@
             )
 
     def _confirm_ownership(self, vm: str) -> None:
-        """Wait until the store knows of an order, under our token.
+        """Wait until an order is committed under this owner's token.
 
-        An owner that was deposed and does not know it gets no further.
+        An owner that was deposed without knowing stops here.
         """
         began = float("-inf")
-        # A process that was frozen meanwhile asks again: the answer is old.
+        # After a stall of this process the answer is too old: commit again.
         while clocks.read_steady() - began > timing.MAX_CONFIRMATION_AGE_S:
             began = clocks.read_steady()
             self._ordered[vm] = None
-            self._writer.enqueue(ORDERS_KEY, self._make_ordered)
+            self._writer.enqueue(ORDERS_KEY, self._make_orders_record)
             write = self._writer.number
             while self._writer.durable < write:
                 gevent.sleep(timing.VM_CONTROL_INTERVAL_S / 10)
 
-    def _order(self, vm: str, send: Callable[[], Outcome]) -> Outcome:
-        """Give an order until it is known what became of it.
+    def _send_order(self, vm: str, send: Callable[[], Outcome]) -> Outcome:
+        """Send an order and retry it until the result is known.
 
-        An order without an answer may have been taken; the platform answers
-        the same order with success if it is done already.
+        An unanswered order may have been accepted; the platform answers a
+        repeated order with success if it is already done.
 
         :param vm: The VM.
-        :param send: Gives the order once.
+        :param send: Sends the order once.
+        :return: The last answer.
         """
         uncertain = False
         for _ in range(timing.VM_ORDER_ATTEMPTS):
             self._confirm_ownership(vm)
-            lives = self._note_order(vm)
+            lives = self._mark_ordered_away(vm)
             outcome = send()
             if isinstance(outcome, clients.Unavailable):
                 uncertain = True
@@ -344,11 +353,11 @@
         self._hold_uncertain(vm)
         return outcome
 
-    def _note_order(self, vm: str) -> list[workers.WorkerState]:
-        """Note that the lives on a VM may end by an order.
+    def _mark_ordered_away(self, vm: str) -> list[workers.WorkerState]:
+        """Mark the workers on a VM as ones that an order may end.
 
         :param vm: The VM.
-        :return: The lives.
+        :return: The workers.
         """
         lives = self._book.lives.find(vm)
         for worker in lives:
@@ -356,7 +365,7 @@
         return lives
 
     def _hold_uncertain(self, vm: str) -> None:
-        """Leave a VM alone whose order was given up without an answer."""
+        """Put a VM on hold whose order remained unanswered."""
         now = clocks.read_steady()
         self._held[vm] = now + self._order_pause
         if vm in self._moves:
@@ -364,31 +373,31 @@
         else:
             self._uncertain.add(vm)
         self._release_held(now)
-        self._apply_closing()
+        self._apply_closures()
 
-    def _make_ordered(self) -> backlogs.Record:
-        """Make the record of VMs that the next owner leaves alone."""
+    def _make_orders_record(self) -> backlogs.Record:
+        """Make the record of VMs that the next owner puts on hold."""
         now = clocks.read_steady()
-        self._ordered = self._find_recent(now)
+        self._ordered = self._find_recent_orders(now)
         ages = {
             vm: 0.0 if time is None else now - time
             for vm, time in self._ordered.items()
         }
         return backlogs.Record(payload=msgspec.json.encode(ages))
 
-    def _make_moves(self) -> backlogs.Record:
-        """Make the record of where VMs were ordered to move lately."""
+    def _make_moves_record(self) -> backlogs.Record:
+        """Make the record of the new pools of recently moved VMs."""
         self._moves = {
             vm: pool for vm, pool in self._moves.items() if vm in self._ordered
         }
         return backlogs.Record(payload=msgspec.json.encode(self._moves))
 
     def _maintain(self, order: upkeeps.MaintainVm) -> None:
-        """Have a VM maintained, once the store knows of it."""
+        """Order the maintenance of a VM, once that is committed."""
         self._record_waves()
         if self._moves.pop(order.vm, None):
-            self._writer.enqueue(MOVES_KEY, self._make_moves)
-        outcome = self._order(
+            self._writer.enqueue(MOVES_KEY, self._make_moves_record)
+        outcome = self._send_order(
             order.vm,
             lambda: self._machines.maintain(order.vm, order.wave, self._fence),
         )
@@ -410,10 +419,10 @@
             self._upkeep.note_refused(order, now, for_good=_is_final(outcome))
 
     def _move(self, order: sizings.MoveVm) -> None:
-        """Move a VM to another pool."""
+        """Order the move of a VM to another pool, once that is committed."""
         self._moves[order.vm] = order.pool
-        self._writer.enqueue(MOVES_KEY, self._make_moves)
-        outcome = self._order(
+        self._writer.enqueue(MOVES_KEY, self._make_moves_record)
+        outcome = self._send_order(
             order.vm,
             lambda: self._machines.move(order.vm, order.pool, self._fence),
         )
@@ -431,7 +440,7 @@
             reason=getattr(outcome, "reason", ""),
         )
         if not isinstance(outcome, clients.Ordered):
-            # One that may still be carried out is given up after the pause.
+            # A move that may still be carried out is kept until the hold ends.
             if order.vm not in self._held:
                 self._sizing.give_up(order.vm)
 
@@ -444,11 +453,11 @@
         record = _Record(
             ordered=sorted(state.ordered), done=sorted(state.done)
         )
-        if self._recorded.get(number) != record:
-            self._recorded[number] = record
+        if self._recorded_waves.get(number) != record:
+            self._recorded_waves[number] = record
             self._writer.enqueue(
                 f"{PREFIX}{number}",
-                functools.partial(_make_record, record, state.began),
+                functools.partial(_make_wave_record, record, state.began),
             )
 
     def _publish_status(self, number: int, state: upkeeps.WaveState) -> None:
@@ -464,14 +473,14 @@
 
 
 def _is_final(outcome: clients.Rejected | clients.Unavailable) -> bool:
-    """Return whether an order that was not taken never will be."""
+    """Return whether a failed order would fail again each time."""
     return (
         isinstance(outcome, clients.Rejected)
         and outcome.reason in clients.FINAL_REASONS
     )
 
 
-def _make_record(record: _Record, began: float) -> backlogs.Record:
+def _make_wave_record(record: _Record, began: float) -> backlogs.Record:
     timed = msgspec.structs.replace(
         record,
         elapsed=clocks.read_steady() - began,
