--- a/features/entries.feature
+++ b/features/entries.feature
@@ -1,5 +1,5 @@
-# An entry may come from another writer.  One odd address of these stopped every
-# owner in turn: the exception of its first call ended the task that held it.
+# Entries can be written by others.  One invalid address stopped every owner in turn:
+# the exception in its first call ended the task that held the worker.
 Feature: An entry of another writer names no worker to use
 
   Scenario Outline: What names no worker is refused
--- a/features/failures.feature
+++ b/features/failures.feature
@@ -1,9 +1,8 @@
-# Where servers ended connections by their answers, the processes of a site took no part
-# any more though they ran: the error had ended a watch of theirs, or the task that
-# takes the ownership, and nobody began these anew.  An error in a call to one worker
-# made its owner give up, and the next owner, and so on.  Seen with real processes: two
-# of three owned in turn for 9 s, then nobody for 38 s; the logs of all three tell of
-# such a task that ended.
+# An unexpected error ended a process's watch or its election task, and nothing
+# restarted them: the process ran on without taking part.  An error in a call to one
+# worker made its owner give up, and each next owner too.  With real processes, whose
+# servers ended connections by their answers, two of three owned in turn for 9 s, and
+# then nobody for 38 s.
 Feature: What fails for one peer, record or task does not stop what serves all
 
   Scenario: A process takes part again after an error that nobody expected
@@ -27,7 +26,8 @@
     Given a worker whose first answer shows a clock of 1e308 ms, and later ones its own
     Then its second answer is a report, and a lease can be given
 
-  # Each of these met the code that handles it, from the client to the book.
+  # Each answer passes through all the code that handles it, from the client to the
+  # book.
   Scenario Outline: Odd answers of <peer> raise no error
     When 400 answers of <peer> are made odd
     Then each is taken or refused, without an error
--- a/features/job_history.py
+++ b/features/job_history.py
@@ -81,7 +81,7 @@
         )
         if self.lives and self.source.random() < 0.5:
             # The new owner often cannot reach what the old one reaches.
-            owner.cut.add(self.source.choice(list(self.lives)))
+            owner.unreachable.add(self.source.choice(list(self.lives)))
         self.owners.append(owner)
         self.owners = self.owners[-2:]
 
@@ -112,7 +112,7 @@
         """Let all faults end and time pass; return jobs that are open."""
         self.change_owner()
         owner = self.owners[-1]
-        owner.cut.clear()
+        owner.unreachable.clear()
         self.owners = [owner]
         for _ in range(600):
             self.world.now += 0.1
@@ -200,7 +200,7 @@
         elif kind == "hold":
             for identity in list(owner.book.workers):
                 if lost and self.rules.restarting:
-                    self.late.append(owner.leave_hold(identity))
+                    self.late.append(owner.make_late_hold(identity))
                 owner.hold(identity, lost)
         elif kind == "list":
             owner.list_vms(self.source.uniform(0.0, self.rules.lag))
@@ -245,7 +245,7 @@
                         self.world.now, timing.WORKER_LEASE_S
                     )
                 self.late.append(
-                    owner.leave_start(order.worker, full, order.run, until)
+                    owner.make_late_start(order.worker, full, order.run, until)
                 )
         elif owner.deliver(order, lost):
             return
@@ -267,7 +267,7 @@
             return
         owner = self.source.choice(self.owners)
         identity = self.source.choice(list(self.lives))
-        owner.cut.symmetric_difference_update({identity})
+        owner.unreachable.symmetric_difference_update({identity})
 
     def pause_owner(self) -> None:
         owner = self.source.choice(self.owners)
--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -1,4 +1,4 @@
-"""One owner of generated histories: the product's cores, step by step."""
+"""Owner of generated histories, which drives the product's cores in steps."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class ActingOwner:
-    """One owner: the product's cores, driven step by step."""
+    """One owner that drives the product's cores step by step."""
 
     def __init__(self, world, store, platform, lives, rules, fence):
         self.world = world
@@ -48,10 +48,10 @@
         self.fence = fence
         self.deposed = False
         self.heard = world.now
-        self.cut: set[str] = set()
+        self.unreachable: set[str] = set()
         self.clocks: dict[str, worker_clock.WorkerClock] = {}
-        # Answers that were not handled yet, with the worker's clock, and the
-        # platform's list with the time at which its reading began.
+        # Answers not yet handled, with the worker's clock, and the platform's
+        # list of VMs with the time at which its read began.
         self.answers: list[tuple[str, messages.Report, float]] = []
         self.listed: tuple[list[fleet.Vm], float] | None = None
         self.paused_until = 0.0
@@ -60,7 +60,7 @@
         self.planned: list[messages.Order] = []
         self.uncertain: set[tuple[str, str, int]] = set()
         self.tokens = fences.Fences(fence)
-        # Revision of its own newest commit.
+        # Revision of this owner's newest commit.
         self.committed_revision = fence
         lease = owners.MAX_INHERITED_LEASE_S if rules.proof else 0.0
         made = cores.make_cores(world.now, inherited_lease=lease)
@@ -73,7 +73,7 @@
         self.refresh()
 
     def refresh(self) -> None:
-        """Learn of jobs, cancels and workers as a watch would."""
+        """Apply changes of jobs, cancels and workers, like the watches."""
         now = self.world.now
         for identity, payload in self.store.definitions.items():
             if identity not in self.book.jobs:
@@ -92,36 +92,38 @@
                 self.raise_token(worker)
 
     def raise_token(self, worker: workers.WorkerState) -> None:
-        """Show a life a greater token if the worker has lived before."""
+        """Raise the token for an incarnation that has a predecessor."""
         others = self.book.names.find(worker.life.worker)
         if self.rules.raised and len(others) > 1:
             self.tokens.raise_for(worker, self.committed_revision)
 
     def note_refused(self, worker: workers.WorkerState) -> None:
-        """Note that a life has seen a greater token."""
+        """Note that an incarnation has seen a greater token."""
         self.deposed = not self.tokens.catch_up(worker)
 
     def find_life(self, identity: str):
-        """Return the life that has a worker's name now, or ``None``."""
+        """Return the current incarnation of a worker; ``None`` without one."""
         return self.lives.get(lives.read_life(identity).worker)
 
-    def leave_hold(self, identity: str):
-        """Return a hold that is carried out later, with the worker's name."""
+    def make_late_hold(self, identity: str):
+        """Return the worker's name and a hold that is carried out later."""
         name = lives.read_life(identity).worker
         seen = self.book.workers[identity].acknowledged(self.durable)
         token = self.tokens.find(self.book.workers[identity])
         now = self.world.now
         return name, lambda life: life.hold(token, seen, None, now)
 
-    def leave_start(self, identity: str, task: str, run: int, until: float):
-        """The same for a start."""
+    def make_late_start(
+        self, identity: str, task: str, run: int, until: float
+    ):
+        """Return the worker's name and a start that is carried out later."""
         name = lives.read_life(identity).worker
         worker = self.book.workers.get(identity)
         token = self.fence if worker is None else self.tokens.find(worker)
         return name, lambda life: life.start(task, run, token, until)
 
     def write(self) -> None:
-        """Commit all marked records, under the condition of ownership."""
+        """Commit all changed records, on condition of the ownership."""
         if not self.book.changed:
             self.durable = self.writes
             return
@@ -164,7 +166,7 @@
         self.listed = (self.platform.read(lag), self.world.now)
 
     def pause(self, seconds: float) -> None:
-        """Stand still while answers to what was asked come in."""
+        """Stall for some time after sending a hold to each worker."""
         for identity in list(self.book.workers):
             self.ask(identity)
         self.paused_until = self.world.now + seconds
@@ -191,7 +193,7 @@
         if worker.entry is None and not is_asking:
             return
         name = worker.life.worker
-        reachable = name not in self.cut
+        reachable = name not in self.unreachable
         if life is None:
             vm = worker.location.vm
             if reachable and self.platform.is_replaced(vm, name):
@@ -252,10 +254,10 @@
     def deliver(self, order: messages.Order, lose_answer: bool) -> bool:
         """Carry out one order.
 
-        :return: Whether the owner knows what became of it.
+        :return: Whether the owner knows the result.
         """
         life = self.find_life(order.worker)
-        if life is None or not life.answers or life.name in self.cut:
+        if life is None or not life.answers or life.name in self.unreachable:
             return False
         worker = self.book.workers.get(order.worker)
         if life.identity != order.worker or worker is None:
--- a/features/jobs.feature
+++ b/features/jobs.feature
@@ -199,13 +199,13 @@
   # An error in a call to one worker, of a kind that nobody expected, is that
   # worker's silence; where it made the owner give up, each next one met the same.
   Scenario: A worker of which each call fails is silent, and its owner stays
-    Given a contact whose client fails at each hold and stop
+    Given a session whose client fails at each hold and stop
     When it is started and told to stop a run
     Then its owner stays, the failures are told, and each is tried again
 
   # What is half changed is of no use; another owner goes on from the records.
   Scenario: A report whose handling fails makes the owner give up, and it says so
-    Given a contact whose owner fails at each report
+    Given a session whose owner fails at each report
     When it is started and told to stop a run
     Then its owner gives up, and says so
 
--- a/features/outages.feature
+++ b/features/outages.feature
@@ -1,7 +1,7 @@
-# The store was silent for 5.6 s and its leases ended, while one queue asked for
-# five times its mean: of 8.7 s without a start 3.1 came after its return, since
-# a small VM heard of the free ownership first, read 1,700 jobs and was asked to
-# hand over to a larger one; the owner before knew all of it.
+# The store was unreachable for 5.6 s and its leases expired, while one queue asked
+# for five times its mean.  Of 8.7 s without a start, 3.1 s came after its return: a
+# small VM took the free ownership first, read 1,700 jobs and was asked to hand over
+# to a larger one, although the previous owner had all of it loaded.
 Feature: An outage of the store costs what it lasts
 
   Scenario: A living owner whose lease has ended goes on under its token
@@ -36,10 +36,9 @@
     When its key is taken away and it is told to hand over at the same time
     Then 1.0 s later another one owns, under a greater token
 
-  # On a busy machine the ownership changed four times in 25 s though nothing had
-  # failed, and jobs stood still for up to 4.9 s: each process stood still for up to
-  # a second now and then, and a lease of one second was over before its holder
-  # could renew it.  The logs show no trouble near these changes but the lateness.
+  # On a busy VM the ownership changed four times in 25 s although nothing had failed,
+  # and jobs stood still for up to 4.9 s: each process stalled for up to a second now
+  # and then, and a lease of one second expired before its holder could renew it.
   Scenario: An owner whose process stands still now and then stays the owner
     Given an owner on the largest VM and 3 others in one store
     When each of them stands still for 0.9 s at each call, for 9.0 s
--- a/features/proofs.feature
+++ b/features/proofs.feature
@@ -1,10 +1,9 @@
 # Jobs stood still for 9 to 20 s while hundreds of others started.  A worker had
-# ended, and so had its owner; one that had seen the end was deposed before its
-# record of it was in the store.  A record named the worker by its identity alone
-# and its entry was gone, so each next owner had nobody to ask, waited 8.4 s for
-# the longest lease that could have been given there, and was followed before
-# that was over.  The logs of three owners in a row showed it: the first has the
-# proof after 0.7 s, the others begin to wait anew, in all 18.2 s.
+# ended, and the owner that knew it was deposed before its record was in the store.
+# Records named the worker only by its identity and its entry was gone, so each next
+# owner had nobody to ask, waited 8.4 s for the longest lease that could have been
+# granted, and was replaced before that.  Of three owners in a row the first had the
+# proof after 0.7 s; the others waited anew, 18.2 s in all.
 Feature: The proof that a worker's runs are over does not end with its owner
 
   Scenario: Each owner asks the workers that the records name
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -23,7 +23,7 @@
     "machine": "m-1",
     "capacity": {"cpu": 4, "mem-mb": 4},
 }
-# What the steps take for the present time, in seconds.
+# Present time in these steps, in seconds.
 NOW = 100.0
 
 
@@ -85,7 +85,7 @@
 
 
 @behave.when('"{host}" port {port:d} and "{other}" port {far:d} are called')
-def call_nowhere(context, host, port, other, far):
+def call_invalid_addresses(context, host, port, other, far):
     context.outcomes = [
         connections.HttpClient(*address).exchange("GET", "/", timeout=1.0)
         for address in ((host, port), (other, far))
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -17,7 +17,7 @@
 
 
 class _OverError(Exception):
-    """The time of the scenario is over."""
+    """Ends a scenario at the end of its time."""
 
 
 class SlowWorker:
@@ -27,19 +27,19 @@
         self.now = 100.0
         self.lease = self.now + timing.WORKER_LEASE_S
         self.has_lapsed = False
-        # How late each answer is, in seconds; for how long the owner stands
-        # still in its first hold.
+        # Delay of each answer, and stall of the owner in its first hold, in
+        # seconds.
         self.delay = 0.0
         self.pause = 0.0
-        # What each hold asked for.
+        # End of the lease that each hold asked for.
         self.asked = []
 
     def hold(self, *, lease_until, wait, timeout=timing.ORDER_TIMEOUT_S, **_):
         sent = self.now
         self.asked.append(lease_until)
-        # An answer that is late has had its wait.
+        # A delayed answer includes the wait.
         answered = sent + (self.delay or wait)
-        # A worker that is late takes the lease as late as it can.
+        # A delayed worker applies the new lease at the end of the delay.
         self.has_lapsed |= sent + self.delay > self.lease
         if lease_until is not None:
             self.lease = max(self.lease, lease_until)
@@ -51,7 +51,7 @@
 
 
 class Owner(late_start_steps.FakeOwner):
-    """An owner that hears reports."""
+    """An owner that accepts reports."""
 
     def apply_report(self, worker, report, now):
         worker.answered = now
@@ -120,7 +120,7 @@
     assert not client.has_lapsed and client.now < client.lease
 
 
-@behave.given("a contact whose client fails at each hold and stop")
+@behave.given("a session whose client fails at each hold and stop")
 def make_failing(context):
     context.client = mock.Mock()
     for call in (context.client.hold, context.client.stop):
@@ -132,7 +132,7 @@
     )
 
 
-@behave.given("a contact whose owner fails at each report")
+@behave.given("a session whose owner fails at each report")
 def make_failing_owner(context):
     client = mock.Mock()
     client.hold.return_value = clients.Report(clock=1.0, running=(), ended=())
--- a/features/steps/outage_steps.py
+++ b/features/steps/outage_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the ownership in an outage, with a store in this process."""
+"""Steps about the ownership in outages of an in-process store."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 from rackvalve.platform import store as stores
 from rackvalve import telemetry
 
-# As long as the users' store takes for an answer.
+# Answer time of the store.
 ANSWER_S = 0.004
 LARGE, SMALL = 2.0, 0.5
 
 
 class FakeStore:
-    """Keys with revisions and leases, for several processes at once."""
+    """In-memory store with revisions and leases, for several processes."""
 
     def __init__(self):
         self.items = {}
         self.revision = 0
-        # When each lease ends, and how long it is from each renewal.
+        # End of each lease, and its length from each renewal on.
         self.leases = {}
         self.lengths = {}
         self.history = []
         self.changed = gevent.event.Event()
         # Processes that get no answer; ``None`` for all.
-        self.dark = frozenset()
-        # Processes whose next call fails as nobody expects.
+        self.unreachable = frozenset()
+        # Processes whose next call raises an unexpected error.
         self.failing = set()
-        # How many commits are done and not answered.
-        self.lost = 0
-        # How long each process stands still at each of its calls, in seconds.
+        # Number of next commits that take effect without an answer.
+        self.lost_answers = 0
+        # Stall of each process in each of its calls, in seconds.
         self.pause = 0.0
 
     def expire(self):
@@ -69,23 +69,23 @@
 
 
 class Connection:
-    """The store as one process sees it."""
+    """One process's connection to the store."""
 
     def __init__(self, store, name):
         self.store = store
         self.name = name
 
-    def is_dark(self):
-        dark = self.store.dark
-        return dark is None or self.name in dark
+    def is_unreachable(self):
+        unreachable = self.store.unreachable
+        return unreachable is None or self.name in unreachable
 
     def wait_for_answer(self, timeout=0.4):
-        """Let a call take its time; return whether it is answered."""
+        """Wait as long as a call takes; return whether it is answered."""
         if self.name in self.store.failing:
             self.store.failing.discard(self.name)
             raise RuntimeError("an error that nobody expects")
         until = time.monotonic() + timeout
-        while self.is_dark():
+        while self.is_unreachable():
             if time.monotonic() > until:
                 return False
             gevent.sleep(0.01)
@@ -101,7 +101,7 @@
             identity += 1
         self.store.leases[identity] = time.monotonic() + duration
         self.store.lengths[identity] = duration
-        # The store may give more than was asked for.
+        # The store may grant a longer lease than requested.
         return stores.Lease(identity=identity, duration=duration + 1.0)
 
     def renew_lease(self, identity, timeout):
@@ -168,14 +168,14 @@
             if put.lease and put.lease not in self.store.leases:
                 return stores.LeaseOver()
             self.store.write(put.key, put.payload, put.lease, revision)
-        if self.store.lost:
-            self.store.lost -= 1
+        if self.store.lost_answers:
+            self.store.lost_answers -= 1
             return stores.Unknown(reason="lost")
         return stores.Committed(revision=revision)
 
 
 class FakeOwner:
-    """Notes what became of it."""
+    """Owner that records why it was stopped."""
 
     def __init__(self, fence):
         self.fence = fence
@@ -193,7 +193,7 @@
 
 
 class Process:
-    """One candidate."""
+    """One process that takes part in the election."""
 
     def __init__(self, store, number, cores):
         self.name = f"p{number}"
@@ -226,7 +226,7 @@
 
 
 def kill(process):
-    """End a process at once; its lease ends by itself."""
+    """End a process at once; its lease expires later."""
     gevent.killall(process.greenlets)
 
 
@@ -249,17 +249,17 @@
     gevent.sleep(0.3)
 
 
-def go_dark(context, seconds, dark):
-    context.store.dark = dark
+def make_unreachable(context, seconds, unreachable):
+    context.store.unreachable = unreachable
     gevent.sleep(seconds)
     context.store.expire()
-    context.store.dark = frozenset()
+    context.store.unreachable = frozenset()
     context.returned = time.monotonic()
 
 
 @behave.when("the store says nothing for {seconds:f} s and its leases end")
 def silence_store(context, seconds):
-    go_dark(context, seconds, None)
+    make_unreachable(context, seconds, None)
 
 
 @behave.when(
@@ -269,12 +269,12 @@
 def silence_and_kill(context, seconds):
     kill(context.first)
     context.processes.remove(context.first)
-    go_dark(context, seconds, None)
+    make_unreachable(context, seconds, None)
 
 
 @behave.when("the owner alone is cut off for {seconds:f} s")
 def cut_owner(context, seconds):
-    go_dark(context, seconds, frozenset({context.first.name}))
+    make_unreachable(context, seconds, frozenset({context.first.name}))
 
 
 @behave.then(
@@ -354,7 +354,7 @@
 
 
 @behave.when("its key is taken away {count:d} times, once a second")
-def rob(context, count):
+def remove_key_repeatedly(context, count):
     context.tokens = []
     context.counts = []
     for _ in range(count):
@@ -366,7 +366,7 @@
 
 
 @behave.then("each time one process owns, and the tokens never fall")
-def check_robbed(context):
+def check_tokens(context):
     assert set(context.counts) == {1}, context.counts
     assert context.tokens == sorted(context.tokens)
 
@@ -374,7 +374,7 @@
 @behave.when(
     "its key is taken away and it is told to hand over at the same time"
 )
-def rob_and_resign(context):
+def remove_key_and_resign(context):
     context.store.remove(election.KEY)
     gevent.sleep(2 * ANSWER_S)
     context.first.election.resign()
@@ -383,7 +383,7 @@
 @behave.when(
     "each of them stands still for {pause:f} s at each call, for {seconds:f} s"
 )
-def slow_down(context, pause, seconds):
+def stall_processes(context, pause, seconds):
     context.store.pause = pause
     gevent.sleep(seconds)
 
@@ -403,10 +403,10 @@
 )
 def lose_longer_lease(context):
     delays = context.first.election._delays
-    context.store.lost = 1
+    context.store.lost_answers = 1
     delays.record(0.9, time.monotonic())
-    wait_until(lambda: not context.store.lost, 2.0)
-    # By now the shortest lease would do again.
+    wait_until(lambda: not context.store.lost_answers, 2.0)
+    # From now on the shortest lease suffices again.
     delays._delays.clear()
 
 
--- a/features/steps/proof_steps.py
+++ b/features/steps/proof_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what an owner knows of workers whose entries are gone."""
+"""Steps about workers that only records name, as their entries are gone."""
 
 from __future__ import annotations
 
