--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -6,7 +6,7 @@
 
 from features import job_cores as cores
 from features import job_models as models
-from rackvalve.jobs import lives
+from rackvalve.jobs import incarnations
 from rackvalve.jobs import progress
 from rackvalve.jobs import records
 from rackvalve.manager import owner as owners
@@ -103,11 +103,11 @@
 
     def find_life(self, identity: str):
         """Return the life that has a worker's name now, or ``None``."""
-        return self.lives.get(lives.read_life(identity).worker)
+        return self.lives.get(incarnations.read_life(identity).worker)
 
     def leave_hold(self, identity: str):
         """Return a hold that is carried out later, with the worker's name."""
-        name = lives.read_life(identity).worker
+        name = incarnations.read_life(identity).worker
         seen = self.book.workers[identity].acknowledged(self.durable)
         token = self.tokens.find(self.book.workers[identity])
         now = self.world.now
@@ -115,7 +115,7 @@
 
     def leave_start(self, identity: str, task: str, run: int, until: float):
         """The same for a start."""
-        name = lives.read_life(identity).worker
+        name = incarnations.read_life(identity).worker
         worker = self.book.workers.get(identity)
         token = self.fence if worker is None else self.tokens.find(worker)
         return name, lambda life: life.start(task, run, token, until)
--- a/features/steps/other_life_steps.py
+++ b/features/steps/other_life_steps.py
@@ -4,7 +4,7 @@
 
 import behave
 
-from rackvalve.jobs import lives
+from rackvalve.jobs import incarnations
 from rackvalve.platform import workers as clients
 from standins import serving
 from standins import worker as standins
@@ -103,7 +103,7 @@
 def make_lives(context):
     context.lives = Lives()
     context.lives.begin(1000)
-    life = lives.Life(worker=NAME, born=1000)
+    life = incarnations.Life(worker=NAME, born=1000)
     context.client = clients.Worker(
         HOST, context.lives.port, life.identity, timeout=TIMEOUT_S
     )
--- a/features/steps/proof_steps.py
+++ b/features/steps/proof_steps.py
@@ -10,7 +10,7 @@
 from features import job_cores as cores
 from features.steps import site_steps
 from rackvalve.jobs import definition
-from rackvalve.jobs import lives
+from rackvalve.jobs import incarnations
 from rackvalve.jobs import progress
 from rackvalve.jobs import records
 
@@ -51,7 +51,7 @@
 def check_told(context):
     site = context.own_fleet
     told = {
-        lives.read_life(event["worker"]).worker
+        incarnations.read_life(event["worker"]).worker
         for manager in site.managers
         for event in read_events(site, manager, "worker.over")
         if event["reason"] == "another life answers"
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -12,7 +12,7 @@
 from features import job_models as models
 from features import vm_bench
 from rackvalve.jobs import definition
-from rackvalve.jobs import lives
+from rackvalve.jobs import incarnations
 from rackvalve.jobs import progress
 from rackvalve.jobs import records
 from rackvalve.manager import admission as admissions
@@ -267,7 +267,7 @@
     report = {"clock-ms": 7, "running": [], "ended": []}
     text = json.dumps({**report, **field}).encode()
     context.births = [
-        lives.read_life(read.identity).born,
+        incarnations.read_life(read.identity).born,
         reports.read_report(text).born,
     ]
 
@@ -282,9 +282,9 @@
 def check_identities(context):
     for row in context.table:
         born = int(row["born"]) if row["born"] else None
-        life = lives.Life(worker=row["name"], born=born)
+        life = incarnations.Life(worker=row["name"], born=born)
         assert life.identity == row["identity"], life.identity
-        assert lives.read_life(life.identity) == life, life
+        assert incarnations.read_life(life.identity) == life, life
 
 
 @behave.given(
--- a/src/rackvalve/jobs/records.py
+++ b/src/rackvalve/jobs/records.py
@@ -17,7 +17,7 @@
 
 from rackvalve import errors
 from rackvalve.jobs import definition
-from rackvalve.jobs import lives
+from rackvalve.jobs import incarnations
 from rackvalve.jobs import progress
 
 T = TypeVar("T")
@@ -210,11 +210,11 @@
             failures=task.failures,
             checkpoint="" if task.done else task.checkpoint,
             runs=[
-                (run.number, lives.read_life(run.worker).worker)
+                (run.number, incarnations.read_life(run.worker).worker)
                 for run in task.runs.values()
             ],
             births=[
-                lives.read_life(run.worker).born or 0
+                incarnations.read_life(run.worker).born or 0
                 for run in task.runs.values()
             ],
             crashes=task.crashes,
@@ -280,7 +280,7 @@
             _read_suspect(task, record.suspects.get(row.name))
         births = itertools.chain(row.births, itertools.repeat(0))
         for (number, worker), born in zip(row.runs, births, strict=False):
-            life = lives.Life(worker=worker, born=born or None)
+            life = incarnations.Life(worker=worker, born=born or None)
             run = progress.Run(
                 number,
                 life.identity,
@@ -324,7 +324,7 @@
 def _write_locations(state: progress.JobState) -> dict[str, _Location]:
     """Return where the workers of a job's runs can be asked."""
     return {
-        lives.read_life(run.worker).worker: _Location(
+        incarnations.read_life(run.worker).worker: _Location(
             host=run.location.host,
             port=run.location.port,
             vm=run.location.vm,
--- a/src/rackvalve/manager/roster.py
+++ b/src/rackvalve/manager/roster.py
@@ -8,7 +8,7 @@
 
 from rackvalve import clocks
 from rackvalve import errors
-from rackvalve.jobs import lives
+from rackvalve.jobs import incarnations
 from rackvalve.jobs import progress
 from rackvalve import logs
 from rackvalve.manager import contact as contacts
@@ -263,7 +263,7 @@
                 pool=entry.pool,
                 on_vm=entry.vm,
                 revision=revision,
-                born=lives.read_life(entry.identity).born,
+                born=incarnations.read_life(entry.identity).born,
             )
         elif entry.draining and not known.entry.draining:
             logs.write_event(
--- a/src/rackvalve/platform/advisers.py
+++ b/src/rackvalve/platform/advisers.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from rackvalve.jobs import lives
+from rackvalve.jobs import incarnations
 from rackvalve.platform import connections
 
 STATUS_OK = 200
@@ -67,7 +67,7 @@
         :param timeout: Longest wait for the answer, in seconds.
         """
         # The service knows each worker by its name, and its present life.
-        asked = {lives.read_life(life).worker: life for life in workers}
+        asked = {incarnations.read_life(life).worker: life for life in workers}
         body = msgspec.json.encode({"step": step, "workers": list(asked)})
         raw = self._client.exchange(
             "POST", "/advise", body, timeout=timeout, alone=True
--- a/src/rackvalve/platform/documents.py
+++ b/src/rackvalve/platform/documents.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from rackvalve import errors
-from rackvalve.jobs import lives
+from rackvalve.jobs import incarnations
 from rackvalve.platform import births
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import queues
@@ -164,7 +164,9 @@
     host, port = _read_address(wire.addr)
     rack = wire.labels[RACK_LABEL] if len(wire.labels) > RACK_LABEL else ""
     remaining = wire.remaining_ms
-    life = lives.Life(worker=worker_of(key), born=births.read_birth(wire.born))
+    life = incarnations.Life(
+        worker=worker_of(key), born=births.read_birth(wire.born)
+    )
     return fleet.Entry(
         identity=life.identity,
         pool=wire.service,
--- a/src/rackvalve/platform/workers.py
+++ b/src/rackvalve/platform/workers.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from rackvalve.jobs import lives
+from rackvalve.jobs import incarnations
 from rackvalve.platform import connections
 from rackvalve.platform import reports
 
@@ -156,7 +156,7 @@
         self._holds = connections.HttpClient(host, port)
         # What the clock showed in the last report, in seconds.
         self._reported = float("-inf")
-        known = lives.read_life(life)
+        known = incarnations.read_life(life)
         # By its name a call reaches whatever life the worker has now.
         self._headers = ((LIFE_HEADER, known.worker),)
         self._born = known.born
--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -11,7 +11,7 @@
 import collections
 
 from rackvalve.jobs import definition
-from rackvalve.jobs import lives
+from rackvalve.jobs import incarnations
 from rackvalve.jobs import progress
 from rackvalve.scheduling import beginnings
 from rackvalve.scheduling import closures
@@ -196,7 +196,7 @@
 
         :param entry: Its newest entry.
         """
-        life = lives.read_life(entry.identity)
+        life = incarnations.read_life(entry.identity)
         # Without a birth it may be of whichever life the worker has now.
         known = self.find_present(life.worker) if life.born is None else None
         worker = known or self.add_life(entry.identity)
--- a/src/rackvalve/scheduling/succession.py
+++ b/src/rackvalve/scheduling/succession.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from rackvalve.jobs import lives
+from rackvalve.jobs import incarnations
 from rackvalve.scheduling import book as books
 from rackvalve.scheduling import endings
 from rackvalve.scheduling import messages
@@ -39,12 +39,15 @@
     if earlier.replaced or earlier.location is None:
         return None
     earlier.replaced = True
-    life = lives.Life(worker=earlier.life.worker, born=born)
+    life = incarnations.Life(worker=earlier.life.worker, born=born)
     later = book.add_life(life.identity)
     later.location = later.location or earlier.location
     later.note_extension(now, HEARD_OF_S)
     entry = earlier.entry
-    if entry is not None and lives.read_life(entry.identity).born is None:
+    if (
+        entry is not None
+        and incarnations.read_life(entry.identity).born is None
+    ):
         # It tells no birth, and is the present life's.
         book.set_entry(entry)
     return later
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from rackvalve.jobs import lives
+from rackvalve.jobs import incarnations
 from rackvalve.jobs import progress
 from rackvalve.scheduling import fleet
 
@@ -87,7 +87,7 @@
         self, identity: str, entry: fleet.Entry | None, lease_over: float
     ) -> None:
         self.identity = identity
-        self.life = lives.read_life(identity)
+        self.life = incarnations.read_life(identity)
         # Whether a later life has answered in its place.
         self.replaced = False
         self.entry = entry
