--- a/features/steps/other_life_steps.py
+++ b/features/steps/other_life_steps.py
@@ -103,7 +103,7 @@
 def make_lives(context):
     context.lives = Lives()
     context.lives.begin(1000)
-    life = incarnations.Life(worker=NAME, born=1000)
+    life = incarnations.Incarnation(worker=NAME, born=1000)
     context.client = clients.Worker(
         HOST, context.lives.port, life.identity, timeout=TIMEOUT_S
     )
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -282,7 +282,7 @@
 def check_identities(context):
     for row in context.table:
         born = int(row["born"]) if row["born"] else None
-        life = incarnations.Life(worker=row["name"], born=born)
+        life = incarnations.Incarnation(worker=row["name"], born=born)
         assert life.identity == row["identity"], life.identity
         assert incarnations.read_life(life.identity) == life, life
 
--- a/src/rackvalve/jobs/incarnations.py
+++ b/src/rackvalve/jobs/incarnations.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class Life:
+class Incarnation:
     """One life of a worker.
 
     :param worker: The worker's name, which its next life may have, too.
@@ -39,7 +39,7 @@
         return self.worker
 
 
-def read_life(identity: str) -> Life:
+def read_life(identity: str) -> Incarnation:
     """Take an identity apart.
 
     :param identity: The identity of a life.
@@ -47,5 +47,5 @@
     worker, separator, digits = identity.rpartition(SEPARATOR)
     is_birth = digits.isascii() and digits.isdigit()
     if not separator or not is_birth or len(digits) > _DIGITS_MOST:
-        return Life(worker=identity, born=None)
-    return Life(worker=worker, born=int(digits) or None)
+        return Incarnation(worker=identity, born=None)
+    return Incarnation(worker=worker, born=int(digits) or None)
--- a/src/rackvalve/jobs/records.py
+++ b/src/rackvalve/jobs/records.py
@@ -280,7 +280,7 @@
             _read_suspect(task, record.suspects.get(row.name))
         births = itertools.chain(row.births, itertools.repeat(0))
         for (number, worker), born in zip(row.runs, births, strict=False):
-            life = incarnations.Life(worker=worker, born=born or None)
+            life = incarnations.Incarnation(worker=worker, born=born or None)
             run = progress.Run(
                 number,
                 life.identity,
--- a/src/rackvalve/platform/documents.py
+++ b/src/rackvalve/platform/documents.py
@@ -164,7 +164,7 @@
     host, port = _read_address(wire.addr)
     rack = wire.labels[RACK_LABEL] if len(wire.labels) > RACK_LABEL else ""
     remaining = wire.remaining_ms
-    life = incarnations.Life(
+    life = incarnations.Incarnation(
         worker=worker_of(key), born=births.read_birth(wire.born)
     )
     return fleet.Entry(
--- a/src/rackvalve/scheduling/succession.py
+++ b/src/rackvalve/scheduling/succession.py
@@ -39,7 +39,7 @@
     if earlier.replaced or earlier.location is None:
         return None
     earlier.replaced = True
-    life = incarnations.Life(worker=earlier.life.worker, born=born)
+    life = incarnations.Incarnation(worker=earlier.life.worker, born=born)
     later = book.add_life(life.identity)
     later.location = later.location or earlier.location
     later.note_extension(now, HEARD_OF_S)
