--- a/features/job_models.py
+++ b/features/job_models.py
@@ -211,7 +211,7 @@
     ):
         self.world = world
         self.identity = identity
-        self.name = incarnations.read_life(identity).worker
+        self.name = incarnations.parse_incarnation(identity).worker
         self.vm = vm or self.name
         # When it answers nothing, though it runs.
         self.quiet = (world.now, world.now)
@@ -311,7 +311,7 @@
 
     @property
     def born(self) -> int:
-        return incarnations.read_life(self.identity).born or 0
+        return incarnations.parse_incarnation(self.identity).born or 0
 
     def end(self, key: tuple[str, int], ending: messages.Ending) -> None:
         task, run = key
--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -103,11 +103,11 @@
 
     def find_life(self, identity: str):
         """Return the life that has a worker's name now, or ``None``."""
-        return self.lives.get(incarnations.read_life(identity).worker)
+        return self.lives.get(incarnations.parse_incarnation(identity).worker)
 
     def leave_hold(self, identity: str):
         """Return a hold that is carried out later, with the worker's name."""
-        name = incarnations.read_life(identity).worker
+        name = incarnations.parse_incarnation(identity).worker
         seen = self.book.workers[identity].acknowledged(self.durable)
         token = self.tokens.find(self.book.workers[identity])
         now = self.world.now
@@ -115,7 +115,7 @@
 
     def leave_start(self, identity: str, task: str, run: int, until: float):
         """The same for a start."""
-        name = incarnations.read_life(identity).worker
+        name = incarnations.parse_incarnation(identity).worker
         worker = self.book.workers.get(identity)
         token = self.fence if worker is None else self.tokens.find(worker)
         return name, lambda life: life.start(task, run, token, until)
--- a/features/steps/proof_steps.py
+++ b/features/steps/proof_steps.py
@@ -51,7 +51,7 @@
 def check_told(context):
     site = context.own_fleet
     told = {
-        incarnations.read_life(event["worker"]).worker
+        incarnations.parse_incarnation(event["worker"]).worker
         for manager in site.managers
         for event in read_events(site, manager, "worker.over")
         if event["reason"] == "another life answers"
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -267,7 +267,7 @@
     report = {"clock-ms": 7, "running": [], "ended": []}
     text = json.dumps({**report, **field}).encode()
     context.births = [
-        incarnations.read_life(read.identity).born,
+        incarnations.parse_incarnation(read.identity).born,
         reports.read_report(text).born,
     ]
 
@@ -284,7 +284,7 @@
         born = int(row["born"]) if row["born"] else None
         life = incarnations.Incarnation(worker=row["name"], born=born)
         assert life.identity == row["identity"], life.identity
-        assert incarnations.read_life(life.identity) == life, life
+        assert incarnations.parse_incarnation(life.identity) == life, life
 
 
 @behave.given(
--- a/src/rackvalve/jobs/incarnations.py
+++ b/src/rackvalve/jobs/incarnations.py
@@ -39,7 +39,7 @@
         return self.worker
 
 
-def read_life(identity: str) -> Incarnation:
+def parse_incarnation(identity: str) -> Incarnation:
     """Take an identity apart.
 
     :param identity: The identity of a life.
--- a/src/rackvalve/jobs/records.py
+++ b/src/rackvalve/jobs/records.py
@@ -210,11 +210,11 @@
             failures=task.failures,
             checkpoint="" if task.done else task.checkpoint,
             runs=[
-                (run.number, incarnations.read_life(run.worker).worker)
+                (run.number, incarnations.parse_incarnation(run.worker).worker)
                 for run in task.runs.values()
             ],
             births=[
-                incarnations.read_life(run.worker).born or 0
+                incarnations.parse_incarnation(run.worker).born or 0
                 for run in task.runs.values()
             ],
             crashes=task.crashes,
@@ -324,7 +324,7 @@
 def _write_locations(state: progress.JobState) -> dict[str, _Location]:
     """Return where the workers of a job's runs can be asked."""
     return {
-        incarnations.read_life(run.worker).worker: _Location(
+        incarnations.parse_incarnation(run.worker).worker: _Location(
             host=run.location.host,
             port=run.location.port,
             vm=run.location.vm,
--- a/src/rackvalve/manager/roster.py
+++ b/src/rackvalve/manager/roster.py
@@ -263,7 +263,7 @@
                 pool=entry.pool,
                 on_vm=entry.vm,
                 revision=revision,
-                born=incarnations.read_life(entry.identity).born,
+                born=incarnations.parse_incarnation(entry.identity).born,
             )
         elif entry.draining and not known.entry.draining:
             logs.write_event(
--- a/src/rackvalve/platform/advisers.py
+++ b/src/rackvalve/platform/advisers.py
@@ -67,7 +67,10 @@
         :param timeout: Longest wait for the answer, in seconds.
         """
         # The service knows each worker by its name, and its present life.
-        asked = {incarnations.read_life(life).worker: life for life in workers}
+        asked = {
+            incarnations.parse_incarnation(life).worker: life
+            for life in workers
+        }
         body = msgspec.json.encode({"step": step, "workers": list(asked)})
         raw = self._client.exchange(
             "POST", "/advise", body, timeout=timeout, alone=True
--- a/src/rackvalve/platform/workers.py
+++ b/src/rackvalve/platform/workers.py
@@ -156,7 +156,7 @@
         self._holds = connections.HttpClient(host, port)
         # What the clock showed in the last report, in seconds.
         self._reported = float("-inf")
-        known = incarnations.read_life(life)
+        known = incarnations.parse_incarnation(life)
         # By its name a call reaches whatever life the worker has now.
         self._headers = ((LIFE_HEADER, known.worker),)
         self._born = known.born
--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -196,7 +196,7 @@
 
         :param entry: Its newest entry.
         """
-        life = incarnations.read_life(entry.identity)
+        life = incarnations.parse_incarnation(entry.identity)
         # Without a birth it may be of whichever life the worker has now.
         known = self.find_present(life.worker) if life.born is None else None
         worker = known or self.add_life(entry.identity)
--- a/src/rackvalve/scheduling/succession.py
+++ b/src/rackvalve/scheduling/succession.py
@@ -46,7 +46,7 @@
     entry = earlier.entry
     if (
         entry is not None
-        and incarnations.read_life(entry.identity).born is None
+        and incarnations.parse_incarnation(entry.identity).born is None
     ):
         # It tells no birth, and is the present life's.
         book.set_entry(entry)
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -87,7 +87,7 @@
         self, identity: str, entry: fleet.Entry | None, lease_over: float
     ) -> None:
         self.identity = identity
-        self.life = incarnations.read_life(identity)
+        self.life = incarnations.parse_incarnation(identity)
         # Whether a later life has answered in its place.
         self.replaced = False
         self.entry = entry
