--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -12,11 +12,11 @@
 from rackvalve.manager import owner as owners
 from rackvalve.manager import timing
 from rackvalve.scheduling import endings
+from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import fences
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import queues
-from rackvalve.scheduling import silence
 from rackvalve.scheduling import succession
 from rackvalve.scheduling import upkeep
 from rackvalve.scheduling import worker_clock
@@ -67,7 +67,7 @@
         self.book, self.handler = made.book, made.handler
         self.planner = made.planner
         self.upkeep = upkeep.Upkeep(self.book)
-        self.silence = silence.Silence(self.book, self.upkeep)
+        self.silence = failure_detector.Silence(self.book, self.upkeep)
         if rules.keep_bound:
             self.book.set_configuration(make_configuration(rules.bound))
         self.refresh()
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -7,9 +7,9 @@
 from features import job_models as models
 from features import vm_bench as vms
 from rackvalve.jobs import definition
+from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import listings
-from rackvalve.scheduling import silence
 from rackvalve.scheduling import upkeep
 
 # Half of a VM, so that two tasks fill one.
@@ -122,7 +122,7 @@
 @behave.when("the worker of one VM is silent and one list leaves that VM out")
 def silence_left_out(context):
     silence_one(context)
-    pass_time(context, silence.NOTICE_S + TICK_S)
+    pass_time(context, failure_detector.NOTICE_S + TICK_S)
     left_out = context.listed.pop(context.lost)
     pass_time(context, TICK_S)
     context.silence.look(context.bench.now)
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -13,9 +13,9 @@
 from rackvalve.jobs import definition
 from rackvalve.manager import view as views
 from rackvalve.platform import store as stores
+from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import queues
-from rackvalve.scheduling import silence
 from rackvalve.scheduling import sizing
 from rackvalve.scheduling import upkeep
 
@@ -147,7 +147,7 @@
     context.sizing = sizing.Sizing(
         bench.book,
         context.upkeep,
-        silence.Silence(bench.book, context.upkeep),
+        failure_detector.Silence(bench.book, context.upkeep),
     )
 
 
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -25,9 +25,9 @@
 from rackvalve.platform import machines
 from rackvalve.platform import store as stores
 from rackvalve.platform import workers as clients
+from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import fences
 from rackvalve.scheduling import queues
-from rackvalve.scheduling import silence
 from rackvalve.scheduling import sizing
 from rackvalve.scheduling import succession
 from rackvalve.scheduling import upkeep
@@ -97,7 +97,7 @@
 def _decide(bench):
     """Let all that decides look at the book once."""
     care = upkeep.Upkeep(bench.book)
-    silent = silence.Silence(bench.book, care)
+    silent = failure_detector.Silence(bench.book, care)
     sizes = sizing.Sizing(bench.book, care, silent)
     silent.look(bench.now)
     care.decide(
@@ -180,7 +180,7 @@
     care = upkeep.Upkeep(bench.book)
     if isinstance(found, list):
         care.take_list(found, bench.now)
-    silent = silence.Silence(bench.book, care)
+    silent = failure_detector.Silence(bench.book, care)
     silent.look(bench.now)
     sizing.Sizing(bench.book, care, silent).decide(bench.now)
 
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -21,11 +21,11 @@
 from rackvalve.platform import documents
 from rackvalve.platform import reports
 from rackvalve.platform import workers as clients
+from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import fences
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import queues
-from rackvalve.scheduling import silence
 from rackvalve.scheduling import upkeep
 
 EARLIER = "w1@1000"
@@ -220,7 +220,7 @@
 def follow_life(context, age):
     bench = context.bench = benches.Bench([])
     context.upkeep = upkeep.Upkeep(bench.book)
-    context.silence = silence.Silence(bench.book, context.upkeep)
+    context.silence = failure_detector.Silence(bench.book, context.upkeep)
     bench.book.set_entry(make_entry(LATER))
     bench.add(definition.Step(tasks=1, cpu=1))
     bench.numbers[LATER] = 0
--- a/features/vm_bench.py
+++ b/features/vm_bench.py
@@ -6,9 +6,9 @@
 
 from features import job_bench as benches
 from features import job_models as models
+from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import queues
-from rackvalve.scheduling import silence
 from rackvalve.scheduling import sizing
 from rackvalve.scheduling import upkeep
 
@@ -48,7 +48,9 @@
     context.bench = benches.Bench(names, capacity=WIDE)
     make_pools(context.bench.book)
     context.upkeep = upkeep.Upkeep(context.bench.book)
-    context.silence = silence.Silence(context.bench.book, context.upkeep)
+    context.silence = failure_detector.Silence(
+        context.bench.book, context.upkeep
+    )
     context.sizing = sizing.Sizing(
         context.bench.book, context.upkeep, context.silence
     )
--- a/src/rackvalve/manager/caretaker.py
+++ b/src/rackvalve/manager/caretaker.py
@@ -19,7 +19,7 @@
 from rackvalve.platform import store as stores
 from rackvalve.scheduling import book as books
 from rackvalve.scheduling import closures
-from rackvalve.scheduling import silence
+from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import sizing as sizings
 from rackvalve.scheduling import upkeep as upkeeps
 from rackvalve.scheduling import workers
@@ -97,7 +97,7 @@
         self._telemetry = telemetry
         self._on_change = on_change
         self._upkeep = upkeeps.Upkeep(book)
-        self._silence = silence.Silence(book, self._upkeep)
+        self._silence = failure_detector.Silence(book, self._upkeep)
         self._sizing = sizings.Sizing(book, self._upkeep, self._silence)
         self._order_pause = order_pause
         # VMs that an earlier owner has given orders to, and until when they
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -14,9 +14,9 @@
 from rackvalve.scheduling import book as books
 from rackvalve.scheduling import closures
 from rackvalve.scheduling import demand as demands
+from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import forecast as forecasts
-from rackvalve.scheduling import silence as silences
 from rackvalve.scheduling import upkeep as upkeeps
 from rackvalve.scheduling import workers
 
@@ -108,7 +108,7 @@
         self,
         book: books.Book,
         upkeep: upkeeps.Upkeep,
-        silence: silences.Silence,
+        silence: failure_detector.Silence,
     ) -> None:
         self._book = book
         self._upkeep = upkeep
--- a/tools/baselines/decisions.py
+++ b/tools/baselines/decisions.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import planner as planners
-from rackvalve.scheduling import silence as silences
 from rackvalve.scheduling import speeds
 
 
@@ -16,7 +16,7 @@
         return (state.arrived,)
 
 
-class DeafSilence(silences.Silence):
+class DeafSilence(failure_detector.Silence):
     """Takes every worker to be there until its entry or lease is gone."""
 
     __slots__ = ()
--- a/tools/emulator/plans.py
+++ b/tools/emulator/plans.py
@@ -4,9 +4,9 @@
 
 import dataclasses
 
+from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import planner as planners
-from rackvalve.scheduling import silence as silences
 from rackvalve.scheduling import speeds
 from tools.emulator import loads
 from tools.emulator import troubles as kinds_of_trouble
@@ -86,7 +86,7 @@
     """
 
     planner: type[planners.Planner] = planners.Planner
-    silence: type[silences.Silence] = silences.Silence
+    silence: type[failure_detector.Silence] = failure_detector.Silence
     speeds: type[speeds.Speeds] = speeds.Speeds
 
 
