--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -67,7 +67,7 @@
         self.book, self.handler = made.book, made.handler
         self.planner = made.planner
         self.upkeep = upkeep.Upkeep(self.book)
-        self.silence = failure_detector.Silence(self.book, self.upkeep)
+        self.silence = failure_detector.FailureDetector(self.book, self.upkeep)
         if rules.keep_bound:
             self.book.set_configuration(make_configuration(rules.bound))
         self.refresh()
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -147,7 +147,7 @@
     context.sizing = sizing.Sizing(
         bench.book,
         context.upkeep,
-        failure_detector.Silence(bench.book, context.upkeep),
+        failure_detector.FailureDetector(bench.book, context.upkeep),
     )
 
 
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -97,7 +97,7 @@
 def _decide(bench):
     """Let all that decides look at the book once."""
     care = upkeep.Upkeep(bench.book)
-    silent = failure_detector.Silence(bench.book, care)
+    silent = failure_detector.FailureDetector(bench.book, care)
     sizes = sizing.Sizing(bench.book, care, silent)
     silent.look(bench.now)
     care.decide(
@@ -180,7 +180,7 @@
     care = upkeep.Upkeep(bench.book)
     if isinstance(found, list):
         care.take_list(found, bench.now)
-    silent = failure_detector.Silence(bench.book, care)
+    silent = failure_detector.FailureDetector(bench.book, care)
     silent.look(bench.now)
     sizing.Sizing(bench.book, care, silent).decide(bench.now)
 
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -220,7 +220,9 @@
 def follow_life(context, age):
     bench = context.bench = benches.Bench([])
     context.upkeep = upkeep.Upkeep(bench.book)
-    context.silence = failure_detector.Silence(bench.book, context.upkeep)
+    context.silence = failure_detector.FailureDetector(
+        bench.book, context.upkeep
+    )
     bench.book.set_entry(make_entry(LATER))
     bench.add(definition.Step(tasks=1, cpu=1))
     bench.numbers[LATER] = 0
--- a/features/vm_bench.py
+++ b/features/vm_bench.py
@@ -48,7 +48,7 @@
     context.bench = benches.Bench(names, capacity=WIDE)
     make_pools(context.bench.book)
     context.upkeep = upkeep.Upkeep(context.bench.book)
-    context.silence = failure_detector.Silence(
+    context.silence = failure_detector.FailureDetector(
         context.bench.book, context.upkeep
     )
     context.sizing = sizing.Sizing(
--- a/src/rackvalve/manager/caretaker.py
+++ b/src/rackvalve/manager/caretaker.py
@@ -97,7 +97,7 @@
         self._telemetry = telemetry
         self._on_change = on_change
         self._upkeep = upkeeps.Upkeep(book)
-        self._silence = failure_detector.Silence(book, self._upkeep)
+        self._silence = failure_detector.FailureDetector(book, self._upkeep)
         self._sizing = sizings.Sizing(book, self._upkeep, self._silence)
         self._order_pause = order_pause
         # VMs that an earlier owner has given orders to, and until when they
--- a/src/rackvalve/scheduling/failure_detector.py
+++ b/src/rackvalve/scheduling/failure_detector.py
@@ -32,7 +32,7 @@
 HALL_LEAST = 2
 
 
-class Silence:
+class FailureDetector:
     """Looks at the answers of all workers and at the platform's list.
 
     :param book: The book with the workers.
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -108,7 +108,7 @@
         self,
         book: books.Book,
         upkeep: upkeeps.Upkeep,
-        silence: failure_detector.Silence,
+        silence: failure_detector.FailureDetector,
     ) -> None:
         self._book = book
         self._upkeep = upkeep
--- a/tools/baselines/decisions.py
+++ b/tools/baselines/decisions.py
@@ -16,7 +16,7 @@
         return (state.arrived,)
 
 
-class DeafSilence(failure_detector.Silence):
+class BlindFailureDetector(failure_detector.FailureDetector):
     """Takes every worker to be there until its entry or lease is gone."""
 
     __slots__ = ()
--- a/tools/emulator/plans.py
+++ b/tools/emulator/plans.py
@@ -86,7 +86,9 @@
     """
 
     planner: type[planners.Planner] = planners.Planner
-    silence: type[failure_detector.Silence] = failure_detector.Silence
+    silence: type[failure_detector.FailureDetector] = (
+        failure_detector.FailureDetector
+    )
     speeds: type[speeds.Speeds] = speeds.Speeds
 
 
