--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -151,7 +151,7 @@
         if self.listed is not None:
             self.upkeep.take_list(*self.listed)
             self.listed = None
-        self.silence.look(self.world.now)
+        self.silence.check(self.world.now)
         self.planner.stop_and_release(self.world.now, self.world.now)
         self.planner.plan(self.world.now, self.world.now)
         if not self.rules.record:
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -99,7 +99,7 @@
     care = upkeep.Upkeep(bench.book)
     silent = failure_detector.FailureDetector(bench.book, care)
     sizes = sizing.Sizing(bench.book, care, silent)
-    silent.look(bench.now)
+    silent.check(bench.now)
     care.decide(
         bench.now,
         short=sizes.is_short,
@@ -181,7 +181,7 @@
     if isinstance(found, list):
         care.take_list(found, bench.now)
     silent = failure_detector.FailureDetector(bench.book, care)
-    silent.look(bench.now)
+    silent.check(bench.now)
     sizing.Sizing(bench.book, care, silent).decide(bench.now)
 
 
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -244,7 +244,7 @@
     bench = context.bench
     row = vm_bench.list_vm(EARLIER, worker=worker, up=bool(worker))
     context.upkeep.take_list([row], bench.now)
-    context.silence.look(bench.now)
+    context.silence.check(bench.now)
 
 
 @behave.when("a list is read right after its last answer and names no worker")
--- a/features/vm_bench.py
+++ b/features/vm_bench.py
@@ -72,6 +72,6 @@
         )
         for name in context.names:
             context.bench.report(name, context.bench.rows(name))
-        context.silence.look(context.bench.now)
+        context.silence.check(context.bench.now)
         moves.extend(context.sizing.decide(context.bench.now))
     return moves
--- a/src/rackvalve/manager/caretaker.py
+++ b/src/rackvalve/manager/caretaker.py
@@ -249,7 +249,7 @@
         self._upkeep.take_list(found, self._listed)
 
     def _step(self, now: float) -> None:
-        for worker in self._silence.look(now):
+        for worker in self._silence.check(now):
             logs.write_warning(
                 "worker.lost",
                 worker=worker,
--- a/src/rackvalve/scheduling/failure_detector.py
+++ b/src/rackvalve/scheduling/failure_detector.py
@@ -65,7 +65,7 @@
         # Whether work waits for a worker that should have answered.
         self.is_noticed = False
 
-    def look(self, now: float) -> list[str]:
+    def check(self, now: float) -> list[str]:
         """Find out who is silent, and release what ran on lost VMs.
 
         :param now: Present time, in seconds.
--- a/tools/baselines/decisions.py
+++ b/tools/baselines/decisions.py
@@ -21,7 +21,7 @@
 
     __slots__ = ()
 
-    def look(self, now):
+    def check(self, now):
         """See nothing.
 
         :param now: Present time, in seconds.
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -250,7 +250,7 @@
     def _care(self) -> None:
         if not self._is_away():
             self.upkeep.take_list(self._list(), self.now)
-            self.silence.look(self.now)
+            self.silence.check(self.now)
             for maintain in self.upkeep.decide(
                 self.now,
                 short=self.sizing.is_short,
