--- a/src/rackvalve/manager/caretaker.py
+++ b/src/rackvalve/manager/caretaker.py
@@ -177,7 +177,7 @@
 
     def _choose_list_interval(self) -> float:
         """Return how often the VMs are listed now, in seconds."""
-        if self._upkeep.is_busy or self._silence.is_noticed:
+        if self._upkeep.is_busy or self._silence.has_overdue:
             return timing.LIST_BUSY_INTERVAL_S
         if self._sizing.moving:
             return timing.LIST_BUSY_INTERVAL_S
--- a/src/rackvalve/scheduling/failure_detector.py
+++ b/src/rackvalve/scheduling/failure_detector.py
@@ -45,9 +45,9 @@
         "_listings",
         "_since",
         "_lost",
-        "workers",
-        "halls",
-        "is_noticed",
+        "silent_workers",
+        "silent_halls",
+        "has_overdue",
     )
 
     def __init__(self, book: books.Book, upkeep: upkeeps.Upkeep) -> None:
@@ -59,11 +59,11 @@
         # Workers that were told to be lost.
         self._lost: set[str] = set()
         # Workers that are out of reach.
-        self.workers: frozenset[str] = frozenset()
+        self.silent_workers: frozenset[str] = frozenset()
         # Data halls of which no worker is reached.
-        self.halls: frozenset[str] = frozenset()
+        self.silent_halls: frozenset[str] = frozenset()
         # Whether work waits for a worker that should have answered.
-        self.is_noticed = False
+        self.has_overdue = False
 
     def check(self, now: float) -> list[str]:
         """Find out who is silent, and release what ran on lost VMs.
@@ -84,14 +84,16 @@
         }
         self._since = {name: self._since.get(name, now) for name in known}
         self._lost &= known.keys()
-        self.workers = frozenset(self._find_silent(known, now))
-        self.halls = frozenset(self._find_cut_halls(self.workers))
+        self.silent_workers = frozenset(self._find_silent(known, now))
+        self.silent_halls = frozenset(
+            self._find_cut_halls(self.silent_workers)
+        )
         quiet = [
             worker
             for worker in known.values()
             if worker.runs and now - self._last_heard(worker) > NOTICE_S
         ]
-        self.is_noticed = bool(quiet)
+        self.has_overdue = bool(quiet)
         return [worker.identity for worker in quiet if self._release(worker)]
 
     def _find_silent(
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -258,7 +258,7 @@
         worker = self._book.find_present(vm.worker)
         if worker is None or worker.entry is None:
             return not vm.up
-        if worker.identity in self._silence.workers:
+        if worker.identity in self._silence.silent_workers:
             return False
         return not worker.entry.draining
 
@@ -297,7 +297,7 @@
             and vm.identity not in self.moving
             and vm.identity not in leaving
             and vm.identity not in self._upkeep.held
-            and vm.hall not in self._silence.halls
+            and vm.hall not in self._silence.silent_halls
             and vm.hall not in self._book.evacuated
         ]
         found.sort(key=lambda vm: vm in later)
@@ -330,7 +330,7 @@
                 continue
             if worker is None or worker.entry is None:
                 continue
-            if worker.identity in self._silence.workers:
+            if worker.identity in self._silence.silent_workers:
                 continue
             # It was not counted, and is of use again once the hall is.
             if vm.hall in self._book.evacuated:
