--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -17,9 +17,9 @@
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import queues
-from rackvalve.scheduling import succession
 from rackvalve.scheduling import upkeep
 from rackvalve.scheduling import worker_clock
+from rackvalve.scheduling import worker_restarts
 from rackvalve.scheduling import workers
 from rackvalve.workspaces import account
 from rackvalve.workspaces import directory
@@ -205,7 +205,7 @@
             return
         if life.identity != identity:
             if reachable and life.answers:
-                later = succession.note_replaced(
+                later = worker_restarts.note_replaced(
                     self.book, worker, life.born, self.world.now
                 )
                 if later is not None:
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -29,8 +29,8 @@
 from rackvalve.scheduling import fences
 from rackvalve.scheduling import queues
 from rackvalve.scheduling import sizing
-from rackvalve.scheduling import succession
 from rackvalve.scheduling import upkeep
+from rackvalve.scheduling import worker_restarts
 
 ODD_SEED = 40
 TIMEOUT_S = 0.5
@@ -135,7 +135,9 @@
         self.bench.end_life(identity, reason)
 
     def follow(self, worker, born):
-        succession.note_replaced(self.bench.book, worker, born, self.bench.now)
+        worker_restarts.note_replaced(
+            self.bench.book, worker, born, self.bench.now
+        )
 
     def take_report(self, worker, report, now):
         self.bench.handler.take(worker, report, now=now, wall=now)
--- a/src/rackvalve/manager/roster.py
+++ b/src/rackvalve/manager/roster.py
@@ -22,7 +22,7 @@
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import releases
-from rackvalve.scheduling import succession
+from rackvalve.scheduling import worker_restarts
 from rackvalve.scheduling import workers
 
 
@@ -156,7 +156,7 @@
         :param born: When the later one began, in milliseconds since 1970.
         """
         now = clocks.read_steady()
-        later = succession.note_replaced(self._book, worker, born, now)
+        later = worker_restarts.note_replaced(self._book, worker, born, now)
         if later is None or later.location is None:
             return
         logs.write_event(
--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -12,7 +12,7 @@
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import releases
 from rackvalve.scheduling import speeds
-from rackvalve.scheduling import succession
+from rackvalve.scheduling import worker_restarts
 from rackvalve.scheduling import workers
 
 # A worker tells at most this many ends at once; with as many, more may come.
@@ -106,7 +106,7 @@
         worker.heard = min(now, report.sent + self._hold_most)
         # After a pause of this process the answer tells of a time before it.
         worker.answered = min(now, report.sent + self._hold_wait)
-        self.released += succession.take_over(
+        self.released += worker_restarts.take_over(
             self._book, worker, report, now=now, wall=wall
         )
         for row in report.ended:
