--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -106,7 +106,7 @@
         worker.heard = min(now, report.sent + self._hold_most)
         # After a pause of this process the answer tells of a time before it.
         worker.answered = min(now, report.sent + self._hold_wait)
-        self.released += worker_restarts.take_over(
+        self.released += worker_restarts.supersede_earlier(
             self._book, worker, report, now=now, wall=wall
         )
         for row in report.ended:
--- a/src/rackvalve/scheduling/worker_restarts.py
+++ b/src/rackvalve/scheduling/worker_restarts.py
@@ -53,7 +53,7 @@
     return later
 
 
-def take_over(
+def supersede_earlier(
     book: books.Book,
     worker: workers.WorkerState,
     report: messages.Report,
