--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -13,7 +13,7 @@
 from rackvalve.manager import timing
 from rackvalve.scheduling import endings
 from rackvalve.scheduling import failure_detector
-from rackvalve.scheduling import fences
+from rackvalve.scheduling import fencing_tokens
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import queues
@@ -59,7 +59,7 @@
         self.durable = 0
         self.planned: list[messages.Order] = []
         self.uncertain: set[tuple[str, str, int]] = set()
-        self.tokens = fences.Fences(fence)
+        self.tokens = fencing_tokens.Fences(fence)
         # Revision of its own newest commit.
         self.committed_revision = fence
         lease = owners.INHERITED_LEASE_S if rules.proof else 0.0
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -26,7 +26,7 @@
 from rackvalve.platform import store as stores
 from rackvalve.platform import workers as clients
 from rackvalve.scheduling import failure_detector
-from rackvalve.scheduling import fences
+from rackvalve.scheduling import fencing_tokens
 from rackvalve.scheduling import queues
 from rackvalve.scheduling import sizing
 from rackvalve.scheduling import upkeep
@@ -119,7 +119,7 @@
 
     def __init__(self, bench):
         self.bench = bench
-        self.fences = fences.Fences(7)
+        self.fences = fencing_tokens.Fences(7)
         self.deposed = ""
 
     def may_extend(self, now):
--- a/features/steps/late_start_steps.py
+++ b/features/steps/late_start_steps.py
@@ -17,7 +17,7 @@
 from rackvalve.platform import connections
 from rackvalve.platform import documents
 from rackvalve.platform import workers as clients
-from rackvalve.scheduling import fences
+from rackvalve.scheduling import fencing_tokens
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import worker_clock
 from rackvalve.scheduling import workers
@@ -34,7 +34,7 @@
     def __init__(self, may_extend):
         self.allowed = may_extend
         self.results = []
-        self.fences = fences.Fences(7)
+        self.fences = fencing_tokens.Fences(7)
 
     def may_extend(self, now):
         return self.allowed
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -22,7 +22,7 @@
 from rackvalve.platform import reports
 from rackvalve.platform import workers as clients
 from rackvalve.scheduling import failure_detector
-from rackvalve.scheduling import fences
+from rackvalve.scheduling import fencing_tokens
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import queues
@@ -296,7 +296,7 @@
 def refuse_token(context, whose):
     bench = benches.Bench([EARLIER])
     context.worker = bench.book.workers[EARLIER]
-    context.owner = mock.Mock(durable=0, fences=fences.Fences(7))
+    context.owner = mock.Mock(durable=0, fences=fencing_tokens.Fences(7))
     if whose == "it itself":
         later = bench.book.add_life(LATER)
         context.owner.fences.raise_for(later, 9)
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -33,7 +33,7 @@
 from rackvalve.platform import machines as machine_clients
 from rackvalve.platform import store as stores
 from rackvalve.scheduling import book as books
-from rackvalve.scheduling import fences
+from rackvalve.scheduling import fencing_tokens
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import planner as planners
 from rackvalve.scheduling import queues
@@ -133,7 +133,7 @@
         self._reporter = reporters.Reporter(
             self._book, self._handler, self._planner, resources.telemetry
         )
-        self.fences = fences.Fences(fence)
+        self.fences = fencing_tokens.Fences(fence)
         self._roster = rosters.Roster(
             self, self._book, on_change=self._wanted.set
         )
--- a/src/rackvalve/manager/protocols.py
+++ b/src/rackvalve/manager/protocols.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from rackvalve.scheduling import fences as fencing
+from rackvalve.scheduling import fencing_tokens
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import workers
 
@@ -41,7 +41,7 @@
     :ivar fences: The fencing tokens that it shows to workers.
     """
 
-    fences: fencing.Fences
+    fences: fencing_tokens.Fences
 
     @property
     def committed_revision(self) -> int:
