--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -59,7 +59,7 @@
         self.durable = 0
         self.planned: list[messages.Order] = []
         self.uncertain: set[tuple[str, str, int]] = set()
-        self.tokens = fencing_tokens.Fences(fence)
+        self.tokens = fencing_tokens.FencingTokens(fence)
         # Revision of its own newest commit.
         self.committed_revision = fence
         lease = owners.INHERITED_LEASE_S if rules.proof else 0.0
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -119,7 +119,7 @@
 
     def __init__(self, bench):
         self.bench = bench
-        self.fences = fencing_tokens.Fences(7)
+        self.fences = fencing_tokens.FencingTokens(7)
         self.deposed = ""
 
     def may_extend(self, now):
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -296,7 +296,9 @@
 def refuse_token(context, whose):
     bench = benches.Bench([EARLIER])
     context.worker = bench.book.workers[EARLIER]
-    context.owner = mock.Mock(durable=0, fences=fencing_tokens.Fences(7))
+    context.owner = mock.Mock(
+        durable=0, fences=fencing_tokens.FencingTokens(7)
+    )
     if whose == "it itself":
         later = bench.book.add_life(LATER)
         context.owner.fences.raise_for(later, 9)
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -133,7 +133,7 @@
         self._reporter = reporters.Reporter(
             self._book, self._handler, self._planner, resources.telemetry
         )
-        self.fences = fencing_tokens.Fences(fence)
+        self.fences = fencing_tokens.FencingTokens(fence)
         self._roster = rosters.Roster(
             self, self._book, on_change=self._wanted.set
         )
--- a/src/rackvalve/manager/protocols.py
+++ b/src/rackvalve/manager/protocols.py
@@ -41,7 +41,7 @@
     :ivar fences: The fencing tokens that it shows to workers.
     """
 
-    fences: fencing_tokens.Fences
+    fences: fencing_tokens.FencingTokens
 
     @property
     def committed_revision(self) -> int:
--- a/src/rackvalve/scheduling/fencing_tokens.py
+++ b/src/rackvalve/scheduling/fencing_tokens.py
@@ -15,7 +15,7 @@
 from rackvalve.scheduling import workers
 
 
-class Fences:
+class FencingTokens:
     """Fencing tokens by the life of a worker.
 
     :param fence: The owner's own.
