--- a/src/rackvalve/manager/recorder.py
+++ b/src/rackvalve/manager/recorder.py
@@ -14,8 +14,8 @@
 from rackvalve.manager import counts
 from rackvalve.manager import timing
 from rackvalve.manager import writer as writers
-from rackvalve.scheduling import beginnings
 from rackvalve.scheduling import book as books
+from rackvalve.scheduling import job_starts
 from rackvalve import telemetry as telemetries
 
 
@@ -79,14 +79,14 @@
         if since < timing.WAITING_INTERVAL_S:
             return
         jobs = self._book.open_jobs.values()
-        waiting = beginnings.count_waiting(jobs)
+        waiting = job_starts.count_waiting(jobs)
         if waiting == self._waiting and since < timing.WAITING_RENEWAL_S:
             return
         if waiting != self._waiting:
             logs.write_event(
                 "jobs.counted",
                 queues=[f"{name}: {count}" for name, count in waiting.items()],
-                ordered=beginnings.count_ordered(jobs),
+                ordered=job_starts.count_ordered(jobs),
                 age=round(now - seen, 3),
             )
         self._waiting_at = now
--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -13,11 +13,11 @@
 from rackvalve.jobs import definition
 from rackvalve.jobs import incarnations
 from rackvalve.jobs import progress
-from rackvalve.scheduling import beginnings
 from rackvalve.scheduling import closures
 from rackvalve.scheduling import crash_history
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import index
+from rackvalve.scheduling import job_starts
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import queues
 from rackvalve.scheduling import speeds
@@ -367,7 +367,7 @@
             run.confirmed_at = run.percent_since = now
             if run.stage is progress.Stage.ORDERED:
                 run.stage = progress.Stage.CONFIRMED
-            if beginnings.note_there(placed):
+            if job_starts.note_there(placed):
                 self.note_begun(placed.state)
             return
         if result is messages.StartResult.OUTDATED:
