--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -367,7 +367,7 @@
             run.confirmed_at = run.percent_since = now
             if run.stage is progress.Stage.ORDERED:
                 run.stage = progress.Stage.CONFIRMED
-            if job_starts.note_there(placed):
+            if job_starts.note_run_seen(placed):
                 self.note_begun(placed.state)
             return
         if result is messages.StartResult.OUTDATED:
--- a/src/rackvalve/scheduling/job_starts.py
+++ b/src/rackvalve/scheduling/job_starts.py
@@ -20,7 +20,7 @@
 _WORKED = frozenset({messages.Ending.DONE, messages.Ending.FAILED})
 
 
-def note_there(placed: workers.Placed) -> bool:
+def note_run_seen(placed: workers.Placed) -> bool:
     """Note that a worker has a run.
 
     :param placed: The run.
@@ -30,7 +30,7 @@
     return _is_complete(placed) and _begin(placed.state)
 
 
-def note_end(
+def note_run_ended(
     state: progress.JobState, step: definition.Step, ending: messages.Ending
 ) -> bool:
     """Note that a worker has had a run.
--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -120,7 +120,7 @@
             listed = running.get(key)
             if listed is not None:
                 _update_run(placed, listed, report.sent, now)
-                if job_starts.note_there(placed):
+                if job_starts.note_run_seen(placed):
                     self._book.note_begun(placed.state)
                 if crashes.clear(worker, placed, report.sent):
                     self._book.mark(placed.state)
@@ -162,7 +162,7 @@
         if row.checkpoint and placed is not None:
             task.checkpoint = row.checkpoint
         step = state.step_of(task.name)
-        if job_starts.note_end(state, step, row.ending):
+        if job_starts.note_run_ended(state, step, row.ending):
             self._book.note_begun(state)
         if row.ending is messages.Ending.DONE:
             self._take_done(worker, state, task, placed, row.run, now, wall)
@@ -325,7 +325,9 @@
             # Its run was released without this worker's word.
             state, task = located
             ending = messages.Ending.CUT_SHORT
-            if job_starts.note_end(state, state.step_of(task.name), ending):
+            if job_starts.note_run_ended(
+                state, state.step_of(task.name), ending
+            ):
                 self._book.note_begun(state)
         self._book.orders.append(
             messages.StopRun(
