--- a/src/rackvalve/scheduling/crash_history.py
+++ b/src/rackvalve/scheduling/crash_history.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from rackvalve.scheduling import crash_series
-from rackvalve.scheduling import culprits
+from rackvalve.scheduling import crashing_jobs
 
 
 class CrashHistory:
@@ -13,4 +13,4 @@
 
     def __init__(self) -> None:
         self.series = crash_series.CrashSeries()
-        self.culprits = culprits.Culprits()
+        self.culprits = crashing_jobs.Culprits()
