--- a/src/rackvalve/scheduling/crash_history.py
+++ b/src/rackvalve/scheduling/crash_history.py
@@ -13,4 +13,4 @@
 
     def __init__(self) -> None:
         self.series = crash_series.CrashSeries()
-        self.culprits = crashing_jobs.Culprits()
+        self.culprits = crashing_jobs.CrashingJobs()
--- a/src/rackvalve/scheduling/crashing_jobs.py
+++ b/src/rackvalve/scheduling/crashing_jobs.py
@@ -13,7 +13,7 @@
 from rackvalve.jobs import progress
 
 
-class Culprits:
+class CrashingJobs:
     """The jobs that were given up for crashes and whose records are kept."""
 
     __slots__ = ("_lived",)
