--- a/features/steps/culprit_steps.py
+++ b/features/steps/culprit_steps.py
@@ -117,5 +117,5 @@
 @behave.then("it is forgotten with the records of the first")
 def check_forgotten(context):
     book = context.bench.book
-    book.crash_history.culprits.forget(context.culprit)
+    book.crash_history.crashing_jobs.forget(context.culprit)
     assert not hand_in(context.bench, 3).culprit_lived
--- a/src/rackvalve/manager/recorder.py
+++ b/src/rackvalve/manager/recorder.py
@@ -129,7 +129,7 @@
         for identity in self._removed:
             state = self._book.jobs.pop(identity, None)
             if state is not None:
-                self._book.crash_history.culprits.forget(state)
+                self._book.crash_history.crashing_jobs.forget(state)
             self._ended.discard(identity)
             self._leaving.discard(identity)
         self._removed.clear()
--- a/src/rackvalve/scheduling/crash_history.py
+++ b/src/rackvalve/scheduling/crash_history.py
@@ -9,8 +9,8 @@
 class CrashHistory:
     """Crashes that were noticed lately, and jobs given up for some of them."""
 
-    __slots__ = ("series", "culprits")
+    __slots__ = ("series", "crashing_jobs")
 
     def __init__(self) -> None:
         self.series = crash_series.CrashSeries()
-        self.culprits = crashing_jobs.CrashingJobs()
+        self.crashing_jobs = crashing_jobs.CrashingJobs()
--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -186,7 +186,7 @@
         wall: float,
     ) -> None:
         step = state.step_of(task.name)
-        self._book.crash_history.culprits.acquit(
+        self._book.crash_history.crashing_jobs.acquit(
             state, self._book.open_jobs.values()
         )
         if placed is not None:
