--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -146,7 +146,7 @@
                 self.find_workspace(state), state.accepted
             )
         self.jobs[state.identity] = state
-        self.crash_history.crashing_jobs.take(state, self.open_jobs.values())
+        self.crash_history.crashing_jobs.match(state, self.open_jobs.values())
         if not state.is_final:
             self.open_jobs[state.identity] = state
         for task in state.tasks.values():
--- a/src/rackvalve/scheduling/crashing_jobs.py
+++ b/src/rackvalve/scheduling/crashing_jobs.py
@@ -22,7 +22,7 @@
         # How long their runs had lived at most, in seconds, by job.
         self._lived: dict[Hashable, dict[str, float]] = {}
 
-    def take(
+    def match(
         self, state: progress.JobState, others: Iterable[progress.JobState]
     ) -> None:
         """Compare a job that has come, or has ended, with others.
@@ -52,7 +52,7 @@
         if known.pop(state.identity, None) is not None and not known:
             del self._lived[_describe(state)]
 
-    def acquit(
+    def clear(
         self, state: progress.JobState, others: Iterable[progress.JobState]
     ) -> None:
         """Note that a task of a job has ended well.
--- a/src/rackvalve/scheduling/endings.py
+++ b/src/rackvalve/scheduling/endings.py
@@ -88,6 +88,6 @@
         f"crashes under this job no other job can have caused {isolated}"
     )
     book.finish_job(state, progress.Phase.FAILED, wall, reason)
-    book.crash_history.crashing_jobs.take(state, book.open_jobs.values())
+    book.crash_history.crashing_jobs.match(state, book.open_jobs.values())
     for other in crashes.explain(state, book.open_jobs.values()):
         book.mark(other)
--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -186,7 +186,7 @@
         wall: float,
     ) -> None:
         step = state.step_of(task.name)
-        self._book.crash_history.crashing_jobs.acquit(
+        self._book.crash_history.crashing_jobs.clear(
             state, self._book.open_jobs.values()
         )
         if placed is not None:
