--- a/features/steps/culprit_steps.py
+++ b/features/steps/culprit_steps.py
@@ -98,7 +98,7 @@
 @behave.then("the next one that runs the same starts beside others")
 def check_next(context):
     state = hand_in(context.bench, 3)
-    assert not state.culprit_lived, state.culprit_lived
+    assert not state.known_time_to_crash, state.known_time_to_crash
 
 
 @behave.when(
@@ -111,11 +111,11 @@
 
 @behave.then("that one is known to run the same")
 def check_alike(context):
-    assert context.alike.culprit_lived > 0
+    assert context.alike.known_time_to_crash > 0
 
 
 @behave.then("it is forgotten with the records of the first")
 def check_forgotten(context):
     book = context.bench.book
     book.crash_history.crashing_jobs.forget(context.culprit)
-    assert not hand_in(context.bench, 3).culprit_lived
+    assert not hand_in(context.bench, 3).known_time_to_crash
--- a/src/rackvalve/jobs/progress.py
+++ b/src/rackvalve/jobs/progress.py
@@ -233,7 +233,7 @@
         "cancel_wanted",
         "opened",
         "suspects",
-        "culprit_lived",
+        "known_time_to_crash",
         "reason",
     )
 
@@ -269,7 +269,7 @@
         self.suspects: set[definition.TaskName] = set()
         # How long, in seconds, the runs of a job that runs the same lived that
         # was given up for crashing its workers; 0 while none is known.
-        self.culprit_lived = 0.0
+        self.known_time_to_crash = 0.0
         self.reason = ""
 
     @property
--- a/src/rackvalve/scheduling/crashes.py
+++ b/src/rackvalve/scheduling/crashes.py
@@ -200,7 +200,7 @@
     if task.done:
         return False
     prompt = sum(one.prompt_crashes for one in _list_suspects(state))
-    if prompt >= (1 if state.culprit_lived else PROMPT_CRASHES_MOST):
+    if prompt >= (1 if state.known_time_to_crash else PROMPT_CRASHES_MOST):
         return True
     is_spent = task.crashes >= CRASHES_MOST
     return is_spent and count_isolated_crashes(state) > 0
@@ -236,8 +236,10 @@
     task, run, state = placed.task, placed.run, placed.state
     if run.confirmed_at is None:
         return False
-    if asked - run.confirmed_at > _limit(state.culprit_lived, CLEARED_MOST_S):
-        state.culprit_lived = 0.0
+    if asked - run.confirmed_at > _limit(
+        state.known_time_to_crash, CLEARED_MOST_S
+    ):
+        state.known_time_to_crash = 0.0
     if not task.crashes:
         return False
     if asked - run.confirmed_at <= _limit(task.lived, CLEARED_MOST_S):
@@ -265,7 +267,7 @@
     :param task: The task.
     :param now: Present time, in seconds.
     """
-    if state.culprit_lived or task.crashes >= LAST_START_FROM:
+    if state.known_time_to_crash or task.crashes >= LAST_START_FROM:
         # Whoever caused the crashes, this start must tell.
         return Isolation.REQUIRED
     if not task.unexplained:
@@ -287,7 +289,7 @@
     :param state: Its job.
     :param task: The task.
     """
-    if state.culprit_lived or task.youngest_crashes:
+    if state.known_time_to_crash or task.youngest_crashes:
         return True
     return bool(task.unexplained and count_isolated_crashes(state))
 
@@ -362,7 +364,7 @@
     """Return whether a run is known to have been at work for long."""
     if placed.run.number == placed.task.isolated and _keeps_worker(placed):
         return False
-    lived = max(placed.task.lived, placed.state.culprit_lived)
+    lived = max(placed.task.lived, placed.state.known_time_to_crash)
     return _read_worked(placed.run) > _limit(lived, SETTLED_MOST_S)
 
 
--- a/src/rackvalve/scheduling/crashing_jobs.py
+++ b/src/rackvalve/scheduling/crashing_jobs.py
@@ -41,7 +41,7 @@
             return
         for other in (state,) if lived is None else others:
             if not other.is_final and _describe(other) == key:
-                other.culprit_lived = known
+                other.known_time_to_crash = known
 
     def forget(self, state: progress.JobState) -> None:
         """Forget a job whose records are removed.
@@ -60,13 +60,13 @@
         :param state: The job.
         :param others: The jobs that have not ended.
         """
-        if not state.culprit_lived:
+        if not state.known_time_to_crash:
             return
         key = _describe(state)
         self._lived.pop(key, None)
         for other in others:
             if _describe(other) == key:
-                other.culprit_lived = 0.0
+                other.known_time_to_crash = 0.0
 
 
 def _describe(state: progress.JobState) -> Hashable:
--- a/src/rackvalve/scheduling/isolation.py
+++ b/src/rackvalve/scheduling/isolation.py
@@ -71,7 +71,7 @@
         What has crashed its workers soonest is most likely to blame.
         """
         lived = min(task.lived for task in self.tasks)
-        if self.state.culprit_lived:
+        if self.state.known_time_to_crash:
             return self.since + lived + ALIKE_BEHIND_S
         ahead = LIKELY_AHEAD_S if self.is_likely else 0.0
         return self.since + lived - ahead
@@ -88,7 +88,7 @@
     found: dict[tuple[object, ...], Group] = {}
     for state in states:
         # All tasks of a job that runs the same as a culprit are suspects.
-        names = state.waiting if state.culprit_lived else state.suspects
+        names = state.waiting if state.known_time_to_crash else state.suspects
         for name in names:
             isolation = _choose_isolation(state, name, now)
             key = (state.identity, name.repetition, name.step, isolation)
--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -419,7 +419,7 @@
         return False
     if placed.state.is_final or task.done or placed.run.stop_wanted:
         return False
-    if task.crashes or placed.state.culprit_lived:
+    if task.crashes or placed.state.known_time_to_crash:
         # Each copy could take one more worker with it.
         return False
     return len(task.runs) == 1
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -150,7 +150,7 @@
         """
         key = (placed.full_name, placed.run.number)
         self.runs[key] = placed
-        if placed.task.crashes or placed.state.culprit_lived:
+        if placed.task.crashes or placed.state.known_time_to_crash:
             self.suspects[key] = placed
         self.free = self.free.minus(placed.need)
 
