--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -227,7 +227,7 @@
     ]
     crashes.blame(placed, releases.Fate.CRASHED, bench.now)
     # Longer than it works in what follows: that does not clear it.
-    context.suspect.lived = 5.0
+    context.suspect.time_to_crash = 5.0
     context.tasks = [
         placed.task for placed in bench.book.workers["w1"].runs.values()
     ]
@@ -276,7 +276,7 @@
     step = definition.Step(tasks=2, cpu=1)
     context.state = bench.add(step, identity=f"{1:016x}")
     for task in context.state.tasks.values():
-        task.crashes, task.lived, task.not_before = 2, 0.5, bench.now
+        task.crashes, task.time_to_crash, task.not_before = 2, 0.5, bench.now
         context.state.suspects.add(task.name)
 
 
@@ -320,7 +320,7 @@
     bench, name = context.bench, context.order.worker
     # A run of it had lived so long before a crash: to work for 4 s clears it
     # of nothing.
-    context.state.tasks[context.order.task].lived = 10.0
+    context.state.tasks[context.order.task].time_to_crash = 10.0
     if when != "at once":
         bench.now += 4.0
     if when == "after another task has come there":
@@ -353,7 +353,7 @@
     context.bench = bench = benches.Bench(["w0"])
     state = bench.add(definition.Step(tasks=1, cpu=1, lasting=True))
     (context.task,) = state.tasks.values()
-    context.task.crashes, context.task.lived = 2, before
+    context.task.crashes, context.task.time_to_crash = 2, before
     context.task.not_before = bench.now
     state.suspects.add(context.task.name)
     bench.start_all()
--- a/features/steps/isolation_steps.py
+++ b/features/steps/isolation_steps.py
@@ -198,7 +198,11 @@
 def count_crashes(bench, state, crashes, *, lived=0.5):
     """Let so many crashes count against each task of a job."""
     for task in state.tasks.values():
-        task.crashes, task.lived, task.not_before = crashes, lived, bench.now
+        task.crashes, task.time_to_crash, task.not_before = (
+            crashes,
+            lived,
+            bench.now,
+        )
         task.youngest_crashes = min(crashes, 1) if crashes > 1 else 0
         state.suspects.add(task.name)
 
--- a/src/rackvalve/jobs/progress.py
+++ b/src/rackvalve/jobs/progress.py
@@ -144,7 +144,7 @@
         "youngest_crashes",
         "explained",
         "crashed_lives",
-        "lived",
+        "time_to_crash",
         "isolated",
         "isolated_crashes",
         "prompt_crashes",
@@ -165,7 +165,7 @@
         # Workers that crashed under it, until it is cleared, and the longest
         # that a run of it may have lived before one of them, in seconds.
         self.crashes = 0
-        self.lived = 0.0
+        self.time_to_crash = 0.0
         # How many of the crashes came when its run was the last one that had
         # started on the worker.
         self.youngest_crashes = 0
@@ -201,7 +201,7 @@
         self.crashed_lives.clear()
         self.isolated_crashes = 0
         self.prompt_crashes = 0
-        self.lived = 0.0
+        self.time_to_crash = 0.0
         self.isolated = 0
         self.settled_beside.clear()
         self.crashed_on.clear()
--- a/src/rackvalve/jobs/records.py
+++ b/src/rackvalve/jobs/records.py
@@ -219,7 +219,7 @@
             ],
             crashes=task.crashes,
             isolated_crashes=task.isolated_crashes,
-            lived=round(task.lived, 3),
+            lived=round(task.time_to_crash, 3),
             isolated=task.isolated,
             untold=[] if task.done else sorted(task.untold),
         )
@@ -270,7 +270,7 @@
         task.checkpoint = row.checkpoint
         task.crashes = row.crashes
         task.isolated_crashes = row.isolated_crashes
-        task.lived = row.lived
+        task.time_to_crash = row.lived
         task.isolated = row.isolated
         task.untold.update(row.untold)
         if task.crashes:
--- a/src/rackvalve/scheduling/crashes.py
+++ b/src/rackvalve/scheduling/crashes.py
@@ -125,7 +125,7 @@
     if fate is not releases.Fate.CRASHED and not suspected:
         return False
     task.crashes += 1
-    task.lived = max(task.lived, now - run.since)
+    task.time_to_crash = max(task.time_to_crash, now - run.since)
     task.crashed_lives.add(run.worker)
     if run.location is not None:
         task.crashed_on.add(run.location.vm)
@@ -242,7 +242,7 @@
         state.known_time_to_crash = 0.0
     if not task.crashes:
         return False
-    if asked - run.confirmed_at <= _limit(task.lived, CLEARED_MOST_S):
+    if asked - run.confirmed_at <= _limit(task.time_to_crash, CLEARED_MOST_S):
         return False
     task.forget_crashes()
     state.suspects.discard(task.name)
@@ -364,7 +364,7 @@
     """Return whether a run is known to have been at work for long."""
     if placed.run.number == placed.task.isolated and _keeps_worker(placed):
         return False
-    lived = max(placed.task.lived, placed.state.known_time_to_crash)
+    lived = max(placed.task.time_to_crash, placed.state.known_time_to_crash)
     return _read_worked(placed.run) > _limit(lived, SETTLED_MOST_S)
 
 
--- a/src/rackvalve/scheduling/crashing_jobs.py
+++ b/src/rackvalve/scheduling/crashing_jobs.py
@@ -79,6 +79,8 @@
     if state.phase is not progress.Phase.FAILED:
         return None
     lived = [
-        task.lived for task in state.tasks.values() if task.isolated_crashes
+        task.time_to_crash
+        for task in state.tasks.values()
+        if task.isolated_crashes
     ]
     return max(lived, default=None)
--- a/src/rackvalve/scheduling/isolation.py
+++ b/src/rackvalve/scheduling/isolation.py
@@ -70,7 +70,7 @@
 
         What has crashed its workers soonest is most likely to blame.
         """
-        lived = min(task.lived for task in self.tasks)
+        lived = min(task.time_to_crash for task in self.tasks)
         if self.state.known_time_to_crash:
             return self.since + lived + ALIKE_BEHIND_S
         ahead = LIKELY_AHEAD_S if self.is_likely else 0.0
