--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -341,7 +341,7 @@
     bench, name = context.bench, context.order.worker
     state = hand_over(bench, context.state)
     task = state.tasks[context.order.task]
-    assert (task.crashes, task.isolated) == (2, context.order.run)
+    assert (task.crashes, task.isolated_run) == (2, context.order.run)
     assert crashes.is_isolating(bench.book.workers[name])
 
 
--- a/features/steps/isolation_steps.py
+++ b/features/steps/isolation_steps.py
@@ -171,7 +171,7 @@
         report_all(bench)
         bench.start_all()
         for run in list(other.runs.values()):
-            assert other.isolated == run.number
+            assert other.isolated_run == run.number
             bench.now += PROOF_S
             report_all(bench, without=run.worker)
             renew(context, run.worker)
--- a/src/rackvalve/jobs/progress.py
+++ b/src/rackvalve/jobs/progress.py
@@ -145,7 +145,7 @@
         "explained",
         "crashed_lives",
         "time_to_crash",
-        "isolated",
+        "isolated_run",
         "isolated_crashes",
         "prompt_crashes",
         "settled_beside",
@@ -174,7 +174,7 @@
         self.explained = 0
         self.crashed_lives: set[str] = set()
         # Number of its run that had, or has, a worker for itself; 0 for none.
-        self.isolated = 0
+        self.isolated_run = 0
         # How many of the crashes were in isolation, and how many of these
         # came soon after the start.
         self.isolated_crashes = 0
@@ -202,7 +202,7 @@
         self.isolated_crashes = 0
         self.prompt_crashes = 0
         self.time_to_crash = 0.0
-        self.isolated = 0
+        self.isolated_run = 0
         self.settled_beside.clear()
         self.crashed_on.clear()
 
--- a/src/rackvalve/jobs/records.py
+++ b/src/rackvalve/jobs/records.py
@@ -220,7 +220,7 @@
             crashes=task.crashes,
             isolated_crashes=task.isolated_crashes,
             lived=round(task.time_to_crash, 3),
-            isolated=task.isolated,
+            isolated=task.isolated_run,
             untold=[] if task.done else sorted(task.untold),
         )
         for task in state.tasks.values()
@@ -271,7 +271,7 @@
         task.crashes = row.crashes
         task.isolated_crashes = row.isolated_crashes
         task.time_to_crash = row.lived
-        task.isolated = row.isolated
+        task.isolated_run = row.isolated
         task.untold.update(row.untold)
         if task.crashes:
             state.suspects.add(task.name)
--- a/src/rackvalve/manager/reporter.py
+++ b/src/rackvalve/manager/reporter.py
@@ -76,7 +76,7 @@
                 run=order.run,
                 worker=order.worker,
                 crashes=task.crashes,
-                isolated=task.isolated == order.run,
+                isolated=task.isolated_run == order.run,
             )
         elif isinstance(order, messages.StopRun):
             logs.write_event(
--- a/src/rackvalve/scheduling/crashes.py
+++ b/src/rackvalve/scheduling/crashes.py
@@ -173,7 +173,7 @@
     task, run = placed.task, placed.run
     if task.done or run.stage is progress.Stage.PLANNED:
         return False
-    if run.number != task.isolated:
+    if run.number != task.isolated_run:
         return False
     return all(
         other.state is placed.state
@@ -331,7 +331,7 @@
     :param worker: The worker.
     """
     return any(
-        placed.run.number == placed.task.isolated and _keeps_worker(placed)
+        placed.run.number == placed.task.isolated_run and _keeps_worker(placed)
         for placed in worker.suspects.values()
     )
 
@@ -362,7 +362,7 @@
 
 def _is_settled(placed: workers.Placed) -> bool:
     """Return whether a run is known to have been at work for long."""
-    if placed.run.number == placed.task.isolated and _keeps_worker(placed):
+    if placed.run.number == placed.task.isolated_run and _keeps_worker(placed):
         return False
     lived = max(placed.task.time_to_crash, placed.state.known_time_to_crash)
     return _read_worked(placed.run) > _limit(lived, SETTLED_MOST_S)
@@ -419,7 +419,7 @@
     :param task: The task.
     :param number: Number of the run.
     """
-    task.isolated = number
+    task.isolated_run = number
     unsettled = {id(placed) for placed in list_unsettled(worker, state)}
     task.settled_beside = {
         key
--- a/src/rackvalve/scheduling/isolation.py
+++ b/src/rackvalve/scheduling/isolation.py
@@ -280,7 +280,7 @@
         """Return the workers that are kept for runs of a job."""
         found = set()
         for task in state.tasks.values():
-            run = task.runs.get(task.isolated)
+            run = task.runs.get(task.isolated_run)
             worker = self._book.workers.get(run.worker) if run else None
             if worker is not None and crashes.is_isolating(worker):
                 found.add(worker.identity)
