--- a/src/rackvalve/jobs/progress.py
+++ b/src/rackvalve/jobs/progress.py
@@ -150,7 +150,7 @@
         "prompt_crashes",
         "settled_beside",
         "crashed_on",
-        "untold",
+        "unreported_runs",
     )
 
     def __init__(self, name: definition.TaskName) -> None:
@@ -186,7 +186,7 @@
         self.crashed_on: set[str] = set()
         # Numbers of runs that were taken to be over while their workers were
         # out of reach: these may still tell how they ended.
-        self.untold: set[int] = set()
+        self.unreported_runs: set[int] = set()
 
     @property
     def unexplained(self) -> int:
--- a/src/rackvalve/jobs/records.py
+++ b/src/rackvalve/jobs/records.py
@@ -221,7 +221,7 @@
             isolated_crashes=task.isolated_crashes,
             lived=round(task.time_to_crash, 3),
             isolated=task.isolated_run,
-            untold=[] if task.done else sorted(task.untold),
+            untold=[] if task.done else sorted(task.unreported_runs),
         )
         for task in state.tasks.values()
         if task.done
@@ -229,7 +229,7 @@
         or task.runs
         or task.checkpoint
         or task.crashes
-        or task.untold
+        or task.unreported_runs
     ]
     return msgspec.json.encode(
         _Progress(
@@ -272,7 +272,7 @@
         task.isolated_crashes = row.isolated_crashes
         task.time_to_crash = row.lived
         task.isolated_run = row.isolated
-        task.untold.update(row.untold)
+        task.unreported_runs.update(row.untold)
         if task.crashes:
             state.suspects.add(task.name)
             # How long it has waited to be isolated is not known.
--- a/src/rackvalve/scheduling/endings.py
+++ b/src/rackvalve/scheduling/endings.py
@@ -35,7 +35,7 @@
     for placed in ended:
         # Failures of lasting tasks are not bounded.
         if fate is releases.Fate.OUT_OF_REACH and not placed.step.lasting:
-            placed.task.untold.add(placed.run.number)
+            placed.task.unreported_runs.add(placed.run.number)
     release = releases.make(worker, proof, now)
     for placed in ended:
         book.release(placed, now)
--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -168,9 +168,9 @@
             self._take_done(worker, state, task, placed, row.run, now, wall)
         elif placed is not None:
             self._take_cut(worker, placed, row.ending, now, wall)
-        elif row.run in task.untold:
+        elif row.run in task.unreported_runs:
             # Its run was released without the worker's word.
-            task.untold.discard(row.run)
+            task.unreported_runs.discard(row.run)
             task.failures += row.ending is messages.Ending.FAILED
             self._book.mark(state)
             self._fail_if_spent(state, task, wall)
