--- a/features/steps/isolation_steps.py
+++ b/features/steps/isolation_steps.py
@@ -436,4 +436,4 @@
     (other,) = context.other.tasks.values()
     assert first.youngest_crashes == 0, first.youngest_crashes
     assert other.youngest_crashes == 1, other.youngest_crashes
-    assert first.crashed_lives == other.crashed_lives
+    assert first.crashed_incarnations == other.crashed_incarnations
--- a/src/rackvalve/jobs/progress.py
+++ b/src/rackvalve/jobs/progress.py
@@ -143,7 +143,7 @@
         "crashes",
         "youngest_crashes",
         "explained",
-        "crashed_lives",
+        "crashed_incarnations",
         "time_to_crash",
         "isolated_run",
         "isolated_crashes",
@@ -172,7 +172,7 @@
         # How many of the crashes another job was found to have caused, and
         # the lives of workers that ended in the others.
         self.explained = 0
-        self.crashed_lives: set[str] = set()
+        self.crashed_incarnations: set[str] = set()
         # Number of its run that had, or has, a worker for itself; 0 for none.
         self.isolated_run = 0
         # How many of the crashes were in isolation, and how many of these
@@ -198,7 +198,7 @@
         self.crashes = 0
         self.youngest_crashes = 0
         self.explained = 0
-        self.crashed_lives.clear()
+        self.crashed_incarnations.clear()
         self.isolated_crashes = 0
         self.prompt_crashes = 0
         self.time_to_crash = 0.0
--- a/src/rackvalve/jobs/records.py
+++ b/src/rackvalve/jobs/records.py
@@ -300,7 +300,7 @@
             youngest_crashes=task.youngest_crashes,
             prompt_crashes=task.prompt_crashes,
             explained=task.explained,
-            crashed_lives=sorted(task.crashed_lives),
+            crashed_lives=sorted(task.crashed_incarnations),
             crashed_on=sorted(task.crashed_on),
             settled_beside=sorted(task.settled_beside),
         )
@@ -316,7 +316,7 @@
     task.youngest_crashes = wire.youngest_crashes
     task.prompt_crashes = wire.prompt_crashes
     task.explained = wire.explained
-    task.crashed_lives.update(wire.crashed_lives)
+    task.crashed_incarnations.update(wire.crashed_lives)
     task.crashed_on.update(wire.crashed_on)
     task.settled_beside.update(wire.settled_beside)
 
--- a/src/rackvalve/scheduling/crashes.py
+++ b/src/rackvalve/scheduling/crashes.py
@@ -126,7 +126,7 @@
         return False
     task.crashes += 1
     task.time_to_crash = max(task.time_to_crash, now - run.since)
-    task.crashed_lives.add(run.worker)
+    task.crashed_incarnations.add(run.worker)
     if run.location is not None:
         task.crashed_on.add(run.location.vm)
     placed.state.suspects.add(task.name)
@@ -307,7 +307,7 @@
     """
     lives = set()
     for name in culprit.suspects:
-        lives |= culprit.tasks[name].crashed_lives
+        lives |= culprit.tasks[name].crashed_incarnations
     return [state for state in others if _explain(state, lives)]
 
 
@@ -316,8 +316,8 @@
     found = False
     for name in state.suspects:
         task = state.tasks[name]
-        common = task.crashed_lives.intersection(lives)
-        task.crashed_lives -= common
+        common = task.crashed_incarnations.intersection(lives)
+        task.crashed_incarnations -= common
         task.explained += len(common)
         left = task.unexplained
         task.youngest_crashes = min(task.youngest_crashes, left)
