--- a/src/rackvalve/jobs/progress.py
+++ b/src/rackvalve/jobs/progress.py
@@ -84,7 +84,7 @@
         "stop_wanted",
         "load",
         "pace",
-        "paced",
+        "paced_at",
         "ticket",
     )
 
@@ -122,7 +122,7 @@
         # ``None`` if an earlier owner, or a lost order, may have told it one.
         self.pace: int | None = 100
         # When its pace was changed last.
-        self.paced = 0.0
+        self.paced_at = 0.0
         self.ticket = ""
 
 
--- a/src/rackvalve/scheduling/sharing.py
+++ b/src/rackvalve/scheduling/sharing.py
@@ -46,10 +46,10 @@
     orders = []
     for placed in fillers:
         wanted = _choose_pace(placed.run.pace, pressure)
-        if wanted == placed.run.pace or now - placed.run.paced < interval:
+        if wanted == placed.run.pace or now - placed.run.paced_at < interval:
             continue
         placed.run.pace = wanted
-        placed.run.paced = now
+        placed.run.paced_at = now
         orders.append(
             messages.SetPace(
                 worker=worker.identity,
