--- a/src/rackvalve/scheduling/crashes.py
+++ b/src/rackvalve/scheduling/crashes.py
@@ -77,7 +77,7 @@
         return self in (Isolation.PREFERRED, Isolation.REQUIRED)
 
 
-def blame_all(
+def attribute_crash(
     ended: Sequence[workers.Placed],
     fate: releases.Fate,
     now: float,
--- a/src/rackvalve/scheduling/endings.py
+++ b/src/rackvalve/scheduling/endings.py
@@ -31,7 +31,7 @@
     is_series = False
     if fate is releases.Fate.CRASHED and worker.entry is not None:
         is_series = book.crash_history.series.note(worker.entry.pool, now)
-    crashes.blame_all(ended, fate, now, is_series=is_series)
+    crashes.attribute_crash(ended, fate, now, is_series=is_series)
     for placed in ended:
         # Failures of lasting tasks are not bounded.
         if fate is releases.Fate.OUT_OF_REACH and not placed.step.lasting:
