--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -225,7 +225,7 @@
         for one in bench.book.workers["w1"].runs.values()
         if one.task is context.suspect
     ]
-    crashes.blame(placed, releases.Fate.CRASHED, bench.now)
+    crashes.count_crash(placed, releases.Fate.CRASHED, bench.now)
     # Longer than it works in what follows: that does not clear it.
     context.suspect.time_to_crash = 5.0
     context.tasks = [
--- a/src/rackvalve/scheduling/crashes.py
+++ b/src/rackvalve/scheduling/crashes.py
@@ -97,7 +97,7 @@
         if sole is not None and placed.state is not sole.state:
             # It is explained without this one.
             continue
-        is_counted = blame(placed, fate, now)
+        is_counted = count_crash(placed, fate, now)
         if placed in youngest:
             placed.task.youngest_crashes += is_counted
         if placed is sole and is_counted:
@@ -108,7 +108,9 @@
             placed.task.prompt_crashes += is_prompt
 
 
-def blame(placed: workers.Placed, fate: releases.Fate, now: float) -> bool:
+def count_crash(
+    placed: workers.Placed, fate: releases.Fate, now: float
+) -> bool:
     """Count the end of a worker against a task that ran there.
 
     :param placed: The run.
