--- a/src/rackvalve/scheduling/crashes.py
+++ b/src/rackvalve/scheduling/crashes.py
@@ -224,7 +224,7 @@
     return [task for task in suspects if not task.done]
 
 
-def clear(
+def clear_suspect(
     worker: workers.WorkerState, placed: workers.Placed, asked: float
 ) -> bool:
     """Clear a task whose run has worked for long enough.
--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -122,7 +122,7 @@
                 _update_run(placed, listed, report.sent, now)
                 if job_starts.note_run_seen(placed):
                     self._book.note_begun(placed.state)
-                if crashes.clear(worker, placed, report.sent):
+                if crashes.clear_suspect(worker, placed, report.sent):
                     self._book.mark(placed.state)
             elif len(report.ended) < ENDS_PER_REPORT:
                 self._take_absence(worker, placed, report.sent, now)
