--- a/src/rackvalve/scheduling/crashes.py
+++ b/src/rackvalve/scheduling/crashes.py
@@ -296,7 +296,7 @@
     return bool(task.unexplained and count_isolated_crashes(state))
 
 
-def explain(
+def discount_explained(
     culprit: progress.JobState, others: Iterable[progress.JobState]
 ) -> list[progress.JobState]:
     """Take back what counts against others for crashes that a job has caused.
--- a/src/rackvalve/scheduling/endings.py
+++ b/src/rackvalve/scheduling/endings.py
@@ -89,5 +89,5 @@
     )
     book.finish_job(state, progress.Phase.FAILED, wall, reason)
     book.crash_history.crashing_jobs.match(state, book.open_jobs.values())
-    for other in crashes.explain(state, book.open_jobs.values()):
+    for other in crashes.discount_explained(state, book.open_jobs.values()):
         book.mark(other)
