--- a/src/rackvalve/scheduling/crashes.py
+++ b/src/rackvalve/scheduling/crashes.py
@@ -274,7 +274,7 @@
         return Isolation.REQUIRED
     if not task.unexplained:
         return Isolation.NONE
-    is_likely = is_likely_culprit(state, task)
+    is_likely = is_likely_cause(state, task)
     if is_likely and task.crashes >= ALONE_FROM:
         return Isolation.REQUIRED
     is_gang = state.step_of(task.name).gang
@@ -285,7 +285,7 @@
     return Isolation.PREFERRED
 
 
-def is_likely_culprit(state: progress.JobState, task: progress.Task) -> bool:
+def is_likely_cause(state: progress.JobState, task: progress.Task) -> bool:
     """Return whether more speaks against a task than that it was there.
 
     :param state: Its job.
--- a/src/rackvalve/scheduling/isolation.py
+++ b/src/rackvalve/scheduling/isolation.py
@@ -61,7 +61,7 @@
     def is_likely(self) -> bool:
         """Whether more speaks against a task than that it was there."""
         return any(
-            crashes.is_likely_culprit(self.state, task) for task in self.tasks
+            crashes.is_likely_cause(self.state, task) for task in self.tasks
         )
 
     @property
