--- a/src/rackvalve/scheduling/crashes.py
+++ b/src/rackvalve/scheduling/crashes.py
@@ -377,7 +377,7 @@
     return run.listed_at - run.confirmed_at
 
 
-def count_strangers(
+def count_conflicting_runs(
     worker: workers.WorkerState,
     state: progress.JobState | None,
     task: progress.Task,
--- a/src/rackvalve/scheduling/placement.py
+++ b/src/rackvalve/scheduling/placement.py
@@ -209,7 +209,7 @@
     # A lasting task would have to move once more.
     leaves = float(step.lasting and worker.leaves_later)
     neighbours = _count_unfit_neighbours(worker, step)
-    strangers = float(crashes.count_strangers(worker, state, task))
+    strangers = float(crashes.count_conflicting_runs(worker, state, task))
     return (
         float(worker.identity in task.avoid),
         float(suspect),
