--- a/src/rackvalve/scheduling/endings.py
+++ b/src/rackvalve/scheduling/endings.py
@@ -27,7 +27,7 @@
     :return: What was released.
     """
     ended = list(worker.runs.values())
-    fate = releases.judge_fate(worker, proof)
+    fate = releases.determine_fate(worker, proof)
     is_series = False
     if fate is releases.Fate.CRASHED and worker.entry is not None:
         is_series = book.crash_history.series.note(worker.entry.pool, now)
--- a/src/rackvalve/scheduling/releases.py
+++ b/src/rackvalve/scheduling/releases.py
@@ -75,7 +75,7 @@
         worker=worker.identity,
         vm=worker.location.vm if worker.location is not None else "",
         proof=proof,
-        fate=judge_fate(worker, proof),
+        fate=determine_fate(worker, proof),
         runs=tuple(
             ReleasedRun(
                 task=placed.full_name,
@@ -98,7 +98,7 @@
     return LISTED_OFF if worker.lease_over == float("-inf") else LEASE_OVER
 
 
-def judge_fate(worker: workers.WorkerState, proof: str) -> Fate:
+def determine_fate(worker: workers.WorkerState, proof: str) -> Fate:
     """Return what became of a worker whose runs a proof has ended.
 
     :param worker: The worker.
