--- a/src/rackvalve/scheduling/endings.py
+++ b/src/rackvalve/scheduling/endings.py
@@ -36,7 +36,7 @@
         # Failures of lasting tasks are not bounded.
         if fate is releases.Fate.OUT_OF_REACH and not placed.step.lasting:
             placed.task.unreported_runs.add(placed.run.number)
-    release = releases.make(worker, proof, now)
+    release = releases.make_release(worker, proof, now)
     for placed in ended:
         book.release(placed, now)
     for placed in ended:
--- a/src/rackvalve/scheduling/releases.py
+++ b/src/rackvalve/scheduling/releases.py
@@ -62,7 +62,9 @@
     runs: tuple[ReleasedRun, ...]
 
 
-def make(worker: workers.WorkerState, proof: str, now: float) -> Release:
+def make_release(
+    worker: workers.WorkerState, proof: str, now: float
+) -> Release:
     """Return what a proof about a worker releases.
 
     Runs that no worker has heard of are left out: they never were.
