--- a/src/rackvalve/jobs/definition.py
+++ b/src/rackvalve/jobs/definition.py
@@ -116,7 +116,7 @@
     )
 
 
-def check(job: Job) -> None:
+def validate(job: Job) -> None:
     """Check that a job can be carried out in principle.
 
     :param job: The job.
--- a/src/rackvalve/jobs/records.py
+++ b/src/rackvalve/jobs/records.py
@@ -188,7 +188,7 @@
         caller could have handed in: its tasks would not fit into memory.
     """
     record = _decode(payload, _Definition)
-    definition.check(record.job)
+    definition.validate(record.job)
     return progress.JobState(
         identity,
         queue,
--- a/src/rackvalve/platform/callers.py
+++ b/src/rackvalve/platform/callers.py
@@ -75,7 +75,7 @@
         interval=wire.interval_ms / 1000,
         repetitions=wire.repetitions,
     )
-    definition.check(job)
+    definition.validate(job)
     return job
 
 
