--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -25,12 +25,12 @@
 from rackvalve.platform import machines
 from rackvalve.platform import store as stores
 from rackvalve.platform import workers as clients
-from rackvalve.scheduling import fences
+from rackvalve.scheduling import failure_detector
+from rackvalve.scheduling import fencing_tokens
 from rackvalve.scheduling import queues
-from rackvalve.scheduling import silence
 from rackvalve.scheduling import sizing
-from rackvalve.scheduling import succession
 from rackvalve.scheduling import upkeep
+from rackvalve.scheduling import worker_restarts
 
 ODD_SEED = 40
 TIMEOUT_S = 0.5
@@ -97,9 +97,9 @@
 def _decide(bench):
     """Let all that decides look at the book once."""
     care = upkeep.Upkeep(bench.book)
-    silent = silence.Silence(bench.book, care)
+    silent = failure_detector.FailureDetector(bench.book, care)
     sizes = sizing.Sizing(bench.book, care, silent)
-    silent.look(bench.now)
+    silent.check(bench.now)
     care.decide(
         bench.now,
         short=sizes.is_short,
@@ -119,7 +119,7 @@
 
     def __init__(self, bench):
         self.bench = bench
-        self.fences = fences.Fences(7)
+        self.fences = fencing_tokens.FencingTokens(7)
         self.deposed = ""
 
     def may_extend(self, now):
@@ -135,7 +135,9 @@
         self.bench.end_life(identity, reason)
 
     def follow(self, worker, born):
-        succession.note_replaced(self.bench.book, worker, born, self.bench.now)
+        worker_restarts.note_replaced(
+            self.bench.book, worker, born, self.bench.now
+        )
 
     def take_report(self, worker, report, now):
         self.bench.handler.take(worker, report, now=now, wall=now)
@@ -180,8 +182,8 @@
     care = upkeep.Upkeep(bench.book)
     if isinstance(found, list):
         care.take_list(found, bench.now)
-    silent = silence.Silence(bench.book, care)
-    silent.look(bench.now)
+    silent = failure_detector.FailureDetector(bench.book, care)
+    silent.check(bench.now)
     sizing.Sizing(bench.book, care, silent).decide(bench.now)
 
 
--- a/src/rackvalve/jobs/progress.py
+++ b/src/rackvalve/jobs/progress.py
@@ -84,7 +84,7 @@
         "stop_wanted",
         "load",
         "pace",
-        "paced",
+        "paced_at",
         "ticket",
     )
 
@@ -122,7 +122,7 @@
         # ``None`` if an earlier owner, or a lost order, may have told it one.
         self.pace: int | None = 100
         # When its pace was changed last.
-        self.paced = 0.0
+        self.paced_at = 0.0
         self.ticket = ""
 
 
@@ -143,14 +143,14 @@
         "crashes",
         "youngest_crashes",
         "explained",
-        "crashed_lives",
-        "lived",
-        "isolated",
+        "crashed_incarnations",
+        "time_to_crash",
+        "isolated_run",
         "isolated_crashes",
         "prompt_crashes",
         "settled_beside",
         "crashed_on",
-        "untold",
+        "unreported_runs",
     )
 
     def __init__(self, name: definition.TaskName) -> None:
@@ -165,16 +165,16 @@
         # Workers that crashed under it, until it is cleared, and the longest
         # that a run of it may have lived before one of them, in seconds.
         self.crashes = 0
-        self.lived = 0.0
+        self.time_to_crash = 0.0
         # How many of the crashes came when its run was the last one that had
         # started on the worker.
         self.youngest_crashes = 0
         # How many of the crashes another job was found to have caused, and
         # the lives of workers that ended in the others.
         self.explained = 0
-        self.crashed_lives: set[str] = set()
+        self.crashed_incarnations: set[str] = set()
         # Number of its run that had, or has, a worker for itself; 0 for none.
-        self.isolated = 0
+        self.isolated_run = 0
         # How many of the crashes were in isolation, and how many of these
         # came soon after the start.
         self.isolated_crashes = 0
@@ -186,7 +186,7 @@
         self.crashed_on: set[str] = set()
         # Numbers of runs that were taken to be over while their workers were
         # out of reach: these may still tell how they ended.
-        self.untold: set[int] = set()
+        self.unreported_runs: set[int] = set()
 
     @property
     def unexplained(self) -> int:
@@ -198,11 +198,11 @@
         self.crashes = 0
         self.youngest_crashes = 0
         self.explained = 0
-        self.crashed_lives.clear()
+        self.crashed_incarnations.clear()
         self.isolated_crashes = 0
         self.prompt_crashes = 0
-        self.lived = 0.0
-        self.isolated = 0
+        self.time_to_crash = 0.0
+        self.isolated_run = 0
         self.settled_beside.clear()
         self.crashed_on.clear()
 
@@ -233,7 +233,7 @@
         "cancel_wanted",
         "opened",
         "suspects",
-        "culprit_lived",
+        "known_time_to_crash",
         "reason",
     )
 
@@ -269,7 +269,7 @@
         self.suspects: set[definition.TaskName] = set()
         # How long, in seconds, the runs of a job that runs the same lived that
         # was given up for crashing its workers; 0 while none is known.
-        self.culprit_lived = 0.0
+        self.known_time_to_crash = 0.0
         self.reason = ""
 
     @property
--- a/src/rackvalve/manager/caretaker.py
+++ b/src/rackvalve/manager/caretaker.py
@@ -19,7 +19,7 @@
 from rackvalve.platform import store as stores
 from rackvalve.scheduling import book as books
 from rackvalve.scheduling import closures
-from rackvalve.scheduling import silence
+from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import sizing as sizings
 from rackvalve.scheduling import upkeep as upkeeps
 from rackvalve.scheduling import workers
@@ -97,7 +97,7 @@
         self._telemetry = telemetry
         self._on_change = on_change
         self._upkeep = upkeeps.Upkeep(book)
-        self._silence = silence.Silence(book, self._upkeep)
+        self._silence = failure_detector.FailureDetector(book, self._upkeep)
         self._sizing = sizings.Sizing(book, self._upkeep, self._silence)
         self._order_pause = order_pause
         # VMs that an earlier owner has given orders to, and until when they
@@ -177,7 +177,7 @@
 
     def _choose_list_interval(self) -> float:
         """Return how often the VMs are listed now, in seconds."""
-        if self._upkeep.is_busy or self._silence.is_noticed:
+        if self._upkeep.is_busy or self._silence.has_overdue:
             return timing.LIST_BUSY_INTERVAL_S
         if self._sizing.moving:
             return timing.LIST_BUSY_INTERVAL_S
@@ -249,7 +249,7 @@
         self._upkeep.take_list(found, self._listed)
 
     def _step(self, now: float) -> None:
-        for worker in self._silence.look(now):
+        for worker in self._silence.check(now):
             logs.write_warning(
                 "worker.lost",
                 worker=worker,
--- a/src/rackvalve/scheduling/endings.py
+++ b/src/rackvalve/scheduling/endings.py
@@ -27,16 +27,16 @@
     :return: What was released.
     """
     ended = list(worker.runs.values())
-    fate = releases.judge_fate(worker, proof)
+    fate = releases.determine_fate(worker, proof)
     is_series = False
     if fate is releases.Fate.CRASHED and worker.entry is not None:
         is_series = book.crash_history.series.note(worker.entry.pool, now)
-    crashes.blame_all(ended, fate, now, is_series=is_series)
+    crashes.attribute_crash(ended, fate, now, is_series=is_series)
     for placed in ended:
         # Failures of lasting tasks are not bounded.
         if fate is releases.Fate.OUT_OF_REACH and not placed.step.lasting:
-            placed.task.untold.add(placed.run.number)
-    release = releases.make(worker, proof, now)
+            placed.task.unreported_runs.add(placed.run.number)
+    release = releases.make_release(worker, proof, now)
     for placed in ended:
         book.release(placed, now)
     for placed in ended:
@@ -88,6 +88,6 @@
         f"crashes under this job no other job can have caused {isolated}"
     )
     book.finish_job(state, progress.Phase.FAILED, wall, reason)
-    book.crash_history.culprits.take(state, book.open_jobs.values())
-    for other in crashes.explain(state, book.open_jobs.values()):
+    book.crash_history.crashing_jobs.match(state, book.open_jobs.values())
+    for other in crashes.discount_explained(state, book.open_jobs.values()):
         book.mark(other)
