--- a/src/rackvalve/manager/job_api.py
+++ b/src/rackvalve/manager/job_api.py
@@ -1,9 +1,9 @@
-"""The callers' side: submit, ask for and cancel jobs, count a queue's.
+"""HTTP API for callers: submit, read and cancel jobs, count a queue's jobs.
 
-Every answer is given at once, by a configuration that was the newest a moment
-before.  Where a queue asks for a key, a caller gets at the jobs of the key's
-workspace alone.  A job is accepted when its record is in the store; it is
-refused only if no write of it can take effect any more.
+Each request is answered at once, from a configuration that was current a
+moment before.  Where a queue requires a key, it gives access only to the jobs
+of its workspace.  A job is accepted when its record is in the store, and
+refused only if no write of its record can still take effect.
 """
 
 from __future__ import annotations
@@ -35,11 +35,11 @@
 from rackvalve.workspaces import account as accounts
 from rackvalve.workspaces import credentials
 
-# What a caller without a right is told to show (RFC 6750).
+# WWW-Authenticate challenge for a caller without a valid key (RFC 6750).
 _CHALLENGE = 'Bearer realm="rackvalve"'
-_IDENTITY = re.compile(r"[0-9a-fA-F]{16}")
-# Most characters of a path in a log line: callers choose its length.
-_PATH_SHOWN = 200
+_JOB_IDENTITY = re.compile(r"[0-9a-fA-F]{16}")
+# Logged part of a path, in characters: callers choose a path's length.
+_MAX_LOGGED_PATH = 200
 _STATES = {
     progress.Phase.QUEUED: callers.State.QUEUED,
     progress.Phase.RUNNING: callers.State.RUNNING,
@@ -54,11 +54,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Reply:
-    """What a caller is answered.
+    """The answer to a caller's request.
 
     :param status: HTTP status.
     :param body: Body in JSON.
-    :param reason: Why, for logs; empty for the ordinary case.
+    :param reason: Reason for the status, for logs; empty on success.
     """
 
     status: http.HTTPStatus
@@ -67,28 +67,28 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class Call:
-    """One request.
+class Request:
+    """One caller's request.
 
     :param method: HTTP method.
     :param queue: The queue.
     :param identity: The job's identifier, empty for the whole queue.
-    :param until: When it must be answered, in seconds.
+    :param deadline: When the request must be answered, in seconds.
     :param workspace: Name of the caller's workspace; empty for none.
     """
 
     method: str
     queue: queues.Queue
     identity: str
-    until: float
+    deadline: float
     workspace: str = ""
 
     def may_see(self, workspace: str) -> bool:
-        """Return whether the caller may get at a workspace's job.
+        """Return whether the caller may access a job of a workspace.
 
-        Jobs of no workspace were kept before the queue asked for keys.
+        Jobs without a workspace were stored before the queue required keys.
 
-        :param workspace: Whose the job is; empty for a job of no workspace.
+        :param workspace: The job's workspace; empty for none.
         """
         if not self.queue.needs_key or not workspace:
             return True
@@ -96,10 +96,10 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class Match:
-    """What a configuration says of a request's path and key.
+class RouteMatch:
+    """The queue and the workspace that a request's path and key select.
 
-    :param queue: The queue; ``None`` if there is none of this path.
+    :param queue: The queue; ``None`` if no queue has this path.
     :param workspace: The workspace that the key belongs to, if any.
     """
 
@@ -115,12 +115,12 @@
 
 
 class JobApi:
-    """Answers callers.
+    """WSGI application that answers callers.
 
     :param store: The store.
-    :param view: The operator's orders.
-    :param telemetry: Counts the answers.
-    :param is_stopping: Whether this process is to end.
+    :param view: The operator's documents as this process knows them.
+    :param telemetry: Metrics of the answers.
+    :param is_stopping: Returns whether this process is shutting down.
     """
 
     def __init__(
@@ -148,18 +148,18 @@
         try:
             reply = self._answer(environ, began)
         except errors.DocumentInvalidError as error:
-            reply = _refuse(f"a record cannot be read: {error.reason}")
+            reply = _refuse(f"a stored record is invalid: {error.reason}")
         finally:
             self.active_requests -= 1
-        self._note_answer(environ, reply, began)
+        self._record_answer(environ, reply, began)
         headers = self._make_headers(reply)
         start_response(f"{reply.status.value} {reply.status.phrase}", headers)
         return [reply.body]
 
-    def _note_answer(
+    def _record_answer(
         self, environ: dict[str, Any], reply: Reply, began: float
     ) -> None:
-        """Count an answer; log it if it is not the ordinary one."""
+        """Record an answer in the metrics, and log it if it has a reason."""
         method = environ["REQUEST_METHOD"]
         taken = clocks.read_steady() - began
         self._telemetry.calls.labels(method, int(reply.status)).inc()
@@ -168,7 +168,7 @@
             logs.write_event(
                 "call.answered",
                 method=method,
-                path=environ.get(servers.TARGET_KEY, "")[:_PATH_SHOWN],
+                path=environ.get(servers.TARGET_KEY, "")[:_MAX_LOGGED_PATH],
                 status=int(reply.status),
                 reason=reply.reason,
                 version=_read_version(self._view),
@@ -182,15 +182,15 @@
             http.HTTPStatus.SERVICE_UNAVAILABLE,
             http.HTTPStatus.GATEWAY_TIMEOUT,
         ):
-            headers.append(("Retry-After", str(self._choose_retry())))
+            headers.append(("Retry-After", str(self._choose_retry_after())))
         if reply.status is http.HTTPStatus.UNAUTHORIZED:
             headers.append(("WWW-Authenticate", _CHALLENGE))
         if self._is_stopping():
             headers.append(("Connection", "close"))
         return headers
 
-    def _choose_retry(self) -> int:
-        """Return when a caller should come back, in seconds."""
+    def _choose_retry_after(self) -> int:
+        """Return the value of Retry-After, in seconds."""
         silence = self._view.silence(clocks.read_steady())
         if silence > timing.READY_SILENCE_S:
             return timing.RETRY_AFTER_OUTAGE_S
@@ -198,35 +198,35 @@
 
     def _answer(self, environ: dict[str, Any], now: float) -> Reply:
         if self._view.configuration is None:
-            return _refuse("no configuration yet")
+            return _refuse("no configuration has been read from the store yet")
         host = environ.get("HTTP_HOST", "")
         path = environ.get("PATH_INFO", "")
-        until = now + _read_budget(environ)
+        deadline = now + _read_time_limit(environ)
         shown = credentials.read(environ.get(callers.KEY_HEADER))
-        # A right that is found may be a little old; that there is none must
-        # be true now, since it may have been given a moment ago.
+        # A known key is checked against a slightly old configuration; a key
+        # is refused only by the newest, as it may have just been added.
         known = self._find_match(host, path, shown).allowed
         since = now - timing.VIEW_AGE_S if known else now
-        if not self._revalidator.confirm(since, until):
-            return _refuse("the newest configuration is not known")
+        if not self._revalidator.confirm(since, deadline):
+            return _refuse("the configuration could not be revalidated")
         match = self._find_match(host, path, shown)
         if match.queue is None:
             return Reply(
-                status=http.HTTPStatus.NOT_FOUND, reason="no such queue"
+                status=http.HTTPStatus.NOT_FOUND, reason="no queue at this URL"
             )
         if not match.allowed:
             return self._challenge(shown)
-        return self._answer_path(match, path, environ, until)
+        return self._answer_queue(match, path, environ, deadline)
 
     def _find_match(
         self,
         host: str,
         path: str,
         shown: credentials.Shown | credentials.Unusable,
-    ) -> Match:
+    ) -> RouteMatch:
         configuration = self._view.configuration
         assert configuration is not None
-        return Match(
+        return RouteMatch(
             queue=self._find_queue(host, path),
             workspace=configuration.workspaces.find_by_key(shown),
         )
@@ -234,7 +234,7 @@
     def _challenge(
         self, shown: credentials.Shown | credentials.Unusable
     ) -> Reply:
-        """Tell a caller that it has no right to call."""
+        """Return the 401 answer to a request without a valid key."""
         reason = f"key unknown by version {_read_version(self._view)}"
         if isinstance(shown, credentials.Unusable):
             reason = shown.reason
@@ -248,48 +248,49 @@
             found = configuration.find_queue(host.rpartition(":")[0], path)
         return found
 
-    def _answer_path(
+    def _answer_queue(
         self,
-        match: Match,
+        match: RouteMatch,
         path: str,
         environ: dict[str, Any],
-        until: float,
+        deadline: float,
     ) -> Reply:
         queue = match.queue
         assert queue is not None
         rest = path[len(queue.prefix) :].strip("/")
-        if rest and not _IDENTITY.fullmatch(rest):
-            return _reject("an identifier is 16 hexadecimal digits")
-        call = Call(
+        if rest and not _JOB_IDENTITY.fullmatch(rest):
+            return _reject("the job identifier must be 16 hexadecimal digits")
+        request = Request(
             method=environ["REQUEST_METHOD"],
             queue=queue,
             identity=rest,
-            until=until,
+            deadline=deadline,
             workspace=match.workspace.name if match.workspace else "",
         )
-        if not call.identity:
-            if call.method != "GET":
+        if not request.identity:
+            if request.method != "GET":
                 return Reply(
                     status=http.HTTPStatus.METHOD_NOT_ALLOWED,
-                    reason="a queue can only be counted",
+                    reason="only GET is allowed on a queue",
                 )
-            return self._count(call)
-        return self._answer_job(call, environ)
-
-    def _answer_job(self, call: Call, environ: dict[str, Any]) -> Reply:
-        if call.method == "POST":
-            return self._submit(call, environ)
-        if call.method == "GET":
-            return self._tell_state(call)
-        if call.method == "DELETE":
-            return self._cancel(call)
+            return self._count(request)
+        return self._answer_job(request, environ)
+
+    def _answer_job(self, request: Request, environ: dict[str, Any]) -> Reply:
+        if request.method == "POST":
+            return self._submit(request, environ)
+        if request.method == "GET":
+            return self._answer_state(request)
+        if request.method == "DELETE":
+            return self._cancel(request)
         return Reply(
-            status=http.HTTPStatus.METHOD_NOT_ALLOWED, reason="unknown method"
+            status=http.HTTPStatus.METHOD_NOT_ALLOWED,
+            reason="only POST, GET and DELETE are allowed on a job",
         )
 
     # -- submitting --------------------------------------------------------
 
-    def _submit(self, call: Call, environ: dict[str, Any]) -> Reply:
+    def _submit(self, request: Request, environ: dict[str, Any]) -> Reply:
         configuration = self._view.configuration
         assert configuration is not None
         body = _read_body(environ, configuration.body_limit)
@@ -300,36 +301,36 @@
         except errors.DocumentInvalidError as error:
             return _reject(error.reason)
         if self._is_stopping():
-            return _refuse("this process is to end")
+            return _refuse("this process is shutting down")
         silence = self._view.silence(clocks.read_steady())
         if silence > timing.READY_SILENCE_S:
-            # Without a write there is nothing that could take effect late.
+            # No write is sent, so none can take effect after the refusal.
             return _refuse("the store does not answer this process")
-        return self._accept(call, job)
+        return self._store_job(request, job)
 
-    def _accept(self, call: Call, job: definition.Job) -> Reply:
+    def _store_job(self, request: Request, job: definition.Job) -> Reply:
         key = records.write_key(
-            call.queue.name, call.identity, records.Part.DEFINITION
+            request.queue.name, request.identity, records.Part.DEFINITION
         )
         payload = records.write_definition(
-            job, clocks.read_wall(), call.workspace
+            job, clocks.read_wall(), request.workspace
         )
         uncertain = False
         reason = ""
-        while clocks.read_steady() < call.until:
+        while clocks.read_steady() < request.deadline:
             outcome = self._store.commit(
                 [stores.Condition(key=key, revision=0)],
                 [stores.Put(key=key, payload=payload)],
             )
             if isinstance(outcome, stores.Committed):
-                return self._accepted(call, outcome.revision)
+                return self._confirm_accepted(request, outcome.revision)
             if isinstance(outcome, stores.Conflict):
                 found = outcome.items.get(key)
                 if found is None:
                     continue
-                if not call.may_see(records.read_workspace(found.payload)):
+                if not request.may_see(records.read_workspace(found.payload)):
                     return _forbid()
-                return self._accepted(call, found.revision)
+                return self._confirm_accepted(request, found.revision)
             if isinstance(outcome, stores.Unknown):
                 uncertain = True
             reason = getattr(outcome, "reason", "lease over")
@@ -337,25 +338,25 @@
         if uncertain:
             return Reply(
                 status=http.HTTPStatus.GATEWAY_TIMEOUT,
-                reason=f"it is not known whether the job was kept: {reason}",
+                reason=f"unknown whether the job was stored: {reason}",
             )
-        return _refuse(f"the job was not kept: {reason}")
+        return _refuse(f"the job was not stored: {reason}")
 
-    def _accepted(self, call: Call, revision: int) -> Reply:
+    def _confirm_accepted(self, request: Request, revision: int) -> Reply:
         logs.write_event(
             "job.accepted",
-            job=call.identity,
-            queue=call.queue.name,
-            workspace=call.workspace,
+            job=request.identity,
+            queue=request.queue.name,
+            workspace=request.workspace,
             revision=revision,
             version=_read_version(self._view),
         )
         return Reply(status=http.HTTPStatus.OK)
 
-    # -- asking and cancelling ---------------------------------------------
+    # -- reading and cancelling --------------------------------------------
 
-    def _tell_state(self, call: Call) -> Reply:
-        phase = self._read_phase(call)
+    def _answer_state(self, request: Request) -> Reply:
+        phase = self._read_phase(request)
         if isinstance(phase, Reply):
             return phase
         return Reply(
@@ -363,18 +364,18 @@
             body=callers.write_state(_STATES[phase]),
         )
 
-    def _read_phase(self, call: Call) -> progress.Phase | Reply:
-        """Read where a job is; a reply if it is not there or not known."""
-        found = self._read(call, records.Part.PROGRESS)
+    def _read_phase(self, request: Request) -> progress.Phase | Reply:
+        """Read a job's phase; return an error reply if that fails."""
+        found = self._read(request, records.Part.PROGRESS)
         if isinstance(found, stores.Item):
             summary = records.read_summary(found.payload)
-            if not call.may_see(summary.workspace):
+            if not request.may_see(summary.workspace):
                 return _forbid()
             return summary.phase
         if isinstance(found, stores.Missing):
-            found = self._read(call, records.Part.DEFINITION)
+            found = self._read(request, records.Part.DEFINITION)
         if isinstance(found, stores.Item):
-            if not call.may_see(records.read_workspace(found.payload)):
+            if not request.may_see(records.read_workspace(found.payload)):
                 return _forbid()
             return progress.Phase.QUEUED
         if isinstance(found, stores.Missing):
@@ -382,31 +383,31 @@
         return _refuse(f"the store does not answer: {found.reason}")
 
     def _read(
-        self, call: Call, part: records.Part
+        self, request: Request, part: records.Part
     ) -> stores.Item | stores.Missing | stores.Unavailable:
-        key = records.write_key(call.queue.name, call.identity, part)
+        key = records.write_key(request.queue.name, request.identity, part)
         while True:
             found = self._store.read(key)
             if not isinstance(found, stores.Unavailable):
                 return found
-            if clocks.read_steady() >= call.until:
+            if clocks.read_steady() >= request.deadline:
                 return found
             gevent.sleep(timing.STORE_PAUSE_S)
 
-    def _cancel(self, call: Call) -> Reply:
-        phase = self._read_phase(call)
+    def _cancel(self, request: Request) -> Reply:
+        phase = self._read_phase(request)
         if isinstance(phase, Reply):
             return phase
         if phase in progress.FINAL:
             return Reply(status=http.HTTPStatus.OK)
-        return self._record_cancel(call)
+        return self._record_cancel(request)
 
-    def _record_cancel(self, call: Call) -> Reply:
+    def _record_cancel(self, request: Request) -> Reply:
         key = records.write_key(
-            call.queue.name, call.identity, records.Part.CANCEL
+            request.queue.name, request.identity, records.Part.CANCEL
         )
         reason = ""
-        while clocks.read_steady() < call.until:
+        while clocks.read_steady() < request.deadline:
             outcome = self._store.commit(
                 [stores.Condition(key=key, revision=0)],
                 [stores.Put(key=key, payload=b"{}")],
@@ -414,7 +415,7 @@
             if isinstance(outcome, (stores.Committed, stores.Conflict)):
                 logs.write_event(
                     "job.cancel_recorded",
-                    job=call.identity,
+                    job=request.identity,
                     outcome=type(outcome).__name__,
                 )
                 return Reply(status=http.HTTPStatus.OK)
@@ -422,20 +423,20 @@
             gevent.sleep(timing.STORE_PAUSE_S)
         return Reply(
             status=http.HTTPStatus.GATEWAY_TIMEOUT,
-            reason=f"the cancelling is not recorded: {reason}",
+            reason=f"the cancellation was not recorded: {reason}",
         )
 
     # -- counting ----------------------------------------------------------
 
-    def _count(self, call: Call) -> Reply:
-        found = self._counter.count(call.queue.name, clocks.read_wall())
+    def _count(self, request: Request) -> Reply:
+        found = self._counter.count(request.queue.name, clocks.read_wall())
         if isinstance(found, stores.Unavailable):
             return _refuse(f"the store does not answer: {found.reason}")
         source = "owner" if found.published else "records"
         self._telemetry.counts_told.labels(source).inc()
         logs.write_event(
             "count.told",
-            queue=call.queue.name,
+            queue=request.queue.name,
             waiting=found.waiting,
             age=round(found.age, 3),
             published=found.published,
@@ -446,7 +447,7 @@
         )
 
 
-def _read_budget(environ: dict[str, Any]) -> float:
+def _read_time_limit(environ: dict[str, Any]) -> float:
     """Return how long a request may take, in seconds."""
     text = environ.get(callers.DEADLINE_HEADER, "")
     if not (text.isascii() and text.isdigit()) or len(text) > 9:
@@ -458,16 +459,16 @@
 def _read_body(environ: dict[str, Any], limit: int) -> bytes | Reply:
     length = environ.get("CONTENT_LENGTH") or ""
     if length and not (length.isascii() and length.isdigit()):
-        return _reject("Content-Length is no number")
+        return _reject("Content-Length is not a number")
     if length and int(length) > limit:
-        return _abandon_body(environ, limit)
+        return _reject_body(environ, limit)
     body: bytes = environ["wsgi.input"].read(limit + 1)
     if len(body) > limit:
-        return _abandon_body(environ, limit)
+        return _reject_body(environ, limit)
     return body
 
 
-def _abandon_body(environ: dict[str, Any], limit: int) -> Reply:
+def _reject_body(environ: dict[str, Any], limit: int) -> Reply:
     environ[servers.ABANDON_KEY]()
     return Reply(
         status=http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
