--- a/features/commit_model.py
+++ b/features/commit_model.py
@@ -178,7 +178,7 @@
     def _deliver(self, world, place, owner, key, sender):
         commit, revisions = self._make_commit(owner, key, sender)
         revision, items = sender.answer
-        resolved = commits.ConflictOutcome.WRITTEN
+        result = commits.ConflictOutcome.WRITTEN
         if revision:
             commit.record_committed(revision)
         else:
@@ -188,13 +188,13 @@
                 )
                 for name, rev, payload in items
             }
-            resolved = commit.resolve_conflict(stores.Conflict(items=found))
-        if resolved is commits.ConflictOutcome.DEPOSED:
+            result = commit.resolve_conflict(stores.Conflict(items=found))
+        if result is commits.ConflictOutcome.DEPOSED:
             if owner == max(number for number, _, _ in world.senders):
                 self.violations["the only owner is deposed"] += 1
             return None
         done = sender.written
-        if resolved is commits.ConflictOutcome.WRITTEN:
+        if result is commits.ConflictOutcome.WRITTEN:
             done += 1
             now = {name: payload for name, _, payload in world.items}
             if now.get(key, b"") < commit.payloads[key]:
--- a/src/rackvalve/manager/backlog.py
+++ b/src/rackvalve/manager/backlog.py
@@ -1,9 +1,9 @@
-"""Records that wait for the store, and when the next commit is sent.
+"""Queue of the owner's pending writes, and when the next commit is sent.
 
-Commits run side by side.  That keeps a change of owner as safe as one commit
-at a time, since each record is conditional on its own last revision (see
-``commit``); and no key is in two commits at once, so that no record overtakes
-a newer one of its own job.
+Used by ``writer``.  Commits run concurrently.  A change of owner is as safe as
+with one commit at a time, since each record is conditional on its own last
+revision (see ``commit``).  No key is in two commits at once, so that no record
+overwrites a newer one of the same job.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from rackvalve.manager import timing
 from rackvalve.platform import store as stores
 
-# The ownership's condition takes one place, each record two: its condition
-# and its value.
+# Of a commit's entries the ownership's condition takes one, and each record
+# two: its condition and its value.
 RECORDS_PER_COMMIT = (stores.COMMIT_ENTRIES - 1) // 2
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Record:
-    """A record as it is written now.
+    """The content of a record at the time of sending.
 
     :param payload: The value; ``None`` to remove the key.
-    :param written: Called once it is in the store.
+    :param written: Called once the record is in the store.
     """
 
     payload: bytes | None
@@ -33,9 +33,9 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class PendingWrite:
-    """A record that is to be written.
+    """A record that is waiting to be written.
 
-    :param number: Number of the first write since it was last sent.
+    :param number: Sequence number of the first change since the last send.
     :param make: Makes the record at the time of sending.
     """
 
@@ -45,9 +45,9 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Batch:
-    """What one commit writes.
+    """The writes of one commit.
 
-    :param number: Number of the commit.
+    :param number: Sequence number of the commit.
     :param writes: The writes by key.
     """
 
@@ -56,52 +56,53 @@
 
 
 class Backlog:
-    """The writes of one owner that are not in the store yet."""
+    """Queue of one owner's writes that are not in the store yet."""
 
     __slots__ = (
         "_urgent",
-        "_other",
-        "_held",
+        "_delayable",
+        "_blocked",
         "_batches",
-        "_busy_keys",
-        "_open",
-        "_oldest",
-        "_other_since",
-        "_sent",
-        "_commits",
+        "_keys_in_flight",
+        "_unwritten",
+        "_oldest_number",
+        "_delayable_since",
+        "_last_sent",
+        "_commit_count",
         "number",
         "is_failing",
     )
 
     def __init__(self) -> None:
-        # Marks that may be sent: something waits for those, nothing for these.
+        # Writes that may be sent: urgent ones, and those that may be delayed.
         self._urgent: dict[str, PendingWrite] = {}
-        self._other: dict[str, PendingWrite] = {}
-        # Marks whose key is in a commit under way, and whether urgent.
-        self._held: dict[str, tuple[PendingWrite, bool]] = {}
+        self._delayable: dict[str, PendingWrite] = {}
+        # Writes whose key is in a commit in flight, and whether urgent.
+        self._blocked: dict[str, tuple[PendingWrite, bool]] = {}
         self._batches: dict[int, Batch] = {}
-        self._busy_keys: set[str] = set()
-        # Numbers of all writes that are not in the store, and the least one.
-        self._open: set[int] = set()
-        self._oldest = 1
-        # When the first of the writes that nothing waits for was made.
-        self._other_since = 0.0
-        # When the last commit was sent first.
-        self._sent = float("-inf")
-        self._commits = 0
-        # Number of the last write.
+        self._keys_in_flight: set[str] = set()
+        # Sequence numbers of the writes that are not in the store, and the
+        # least one.
+        self._unwritten: set[int] = set()
+        self._oldest_number = 1
+        # When the oldest delayable write was enqueued.
+        self._delayable_since = 0.0
+        # When the last commit was first sent, not counting its retries.
+        self._last_sent = float("-inf")
+        self._commit_count = 0
+        # Sequence number of the last write.
         self.number = 0
-        # Whether the last call had no usable answer.
+        # Whether the last call to the store had no usable answer.
         self.is_failing = False
 
     @property
     def durable(self) -> int:
-        """Number up to which all writes are in the store."""
-        return self._oldest - 1 if self._open else self.number
+        """Sequence number up to which all writes are in the store."""
+        return self._oldest_number - 1 if self._unwritten else self.number
 
     @property
     def in_flight(self) -> int:
-        """How many commits are under way."""
+        """Number of commits in flight."""
         return len(self._batches)
 
     def enqueue(
@@ -112,19 +113,19 @@
         *,
         urgent: bool,
     ) -> None:
-        """Have a record written.
+        """Enqueue the write of a record, or merge it with a pending one.
 
-        :param key: Its key.
+        :param key: The record's key.
         :param make: Makes the record at the time of sending.
         :param now: Present time, in seconds.
-        :param urgent: Whether something waits for it.
+        :param urgent: Whether something waits for the record.
         """
         self.number += 1
         known = self._take_write(key)
         if known is None:
-            if not self._open:
-                self._oldest = self.number
-            self._open.add(self.number)
+            if not self._unwritten:
+                self._oldest_number = self.number
+            self._unwritten.add(self.number)
             write = PendingWrite(number=self.number, make=make)
         else:
             write = PendingWrite(number=known[0].number, make=make)
@@ -132,17 +133,18 @@
         self._put_write(key, write, now, urgent=urgent)
 
     def find_wait(self, now: float) -> float | None:
-        """Return when the next commit is to be sent.
+        """Return how long to wait before the next commit is sent.
 
-        While the store is quick, one commit at a time takes all that was
-        marked meanwhile: each call is paid for.  Once an answer takes longer
-        than that is worth, or a commit is full, the next one goes beside it.
+        While the store is fast, one commit at a time carries all writes that
+        were enqueued meanwhile, since each call to the store is billed.
+        When an answer takes longer than ``COMMIT_SPACING_S``, or a commit is
+        full, the next commit is sent concurrently.
 
         :param now: Present time, in seconds.
-        :return: Time until then, in seconds; ``None`` while that hangs on
-            something else than time.
+        :return: The wait, in seconds; ``None`` to wait for the next write or
+            answer.
         """
-        ready = len(self._urgent) + len(self._other)
+        ready = len(self._urgent) + len(self._delayable)
         if not ready or self.in_flight >= timing.COMMITS_MOST:
             return None
         if self._batches and self.is_failing:
@@ -151,61 +153,61 @@
             return 0.0
         due = now
         if self._batches:
-            due = self._sent + timing.COMMIT_SPACING_S
+            due = self._last_sent + timing.COMMIT_SPACING_S
         if not self._urgent:
-            due = max(due, self._other_since + timing.WRITE_DELAY_S)
+            due = max(due, self._delayable_since + timing.WRITE_DELAY_S)
         return max(0.0, due - now)
 
     def take(self, now: float) -> Batch:
-        """Take what the next commit writes, urgent writes first.
+        """Remove and return the writes of the next commit, urgent ones first.
 
         :param now: Present time, in seconds.
         """
         writes: dict[str, PendingWrite] = {}
-        for source in (self._urgent, self._other):
+        for source in (self._urgent, self._delayable):
             room = RECORDS_PER_COMMIT - len(writes)
             for key in list(source)[:room]:
                 writes[key] = source.pop(key)
-        self._sent = now
-        self._commits += 1
-        batch = Batch(number=self._commits, writes=writes)
+        self._last_sent = now
+        self._commit_count += 1
+        batch = Batch(number=self._commit_count, writes=writes)
         self._batches[batch.number] = batch
-        self._busy_keys.update(writes)
+        self._keys_in_flight.update(writes)
         return batch
 
     def complete_batch(self, batch: Batch, now: float) -> None:
-        """Note that a commit is in the store.
+        """Mark a commit's writes as durable.
 
-        :param batch: What it wrote.
+        :param batch: The writes of the commit.
         :param now: Present time, in seconds.
         """
         del self._batches[batch.number]
         for key, write in batch.writes.items():
-            self._busy_keys.discard(key)
-            self._open.discard(write.number)
-            if key in self._held:
-                held, urgent = self._held.pop(key)
-                self._put_write(key, held, now, urgent=urgent)
-        self._oldest = min(self._open, default=self._oldest)
+            self._keys_in_flight.discard(key)
+            self._unwritten.discard(write.number)
+            if key in self._blocked:
+                blocked, urgent = self._blocked.pop(key)
+                self._put_write(key, blocked, now, urgent=urgent)
+        self._oldest_number = min(self._unwritten, default=self._oldest_number)
 
     def _take_write(self, key: str) -> tuple[PendingWrite, bool] | None:
-        """Take a write out that was not sent yet, and whether it is urgent."""
-        if key in self._held:
-            return self._held.pop(key)
+        """Remove an unsent write; return it and whether it is urgent."""
+        if key in self._blocked:
+            return self._blocked.pop(key)
         if key in self._urgent:
             return self._urgent.pop(key), True
-        if key in self._other:
-            return self._other.pop(key), False
+        if key in self._delayable:
+            return self._delayable.pop(key), False
         return None
 
     def _put_write(
         self, key: str, write: PendingWrite, now: float, *, urgent: bool
     ) -> None:
-        if key in self._busy_keys:
-            self._held[key] = (write, urgent)
+        if key in self._keys_in_flight:
+            self._blocked[key] = (write, urgent)
         elif urgent:
             self._urgent[key] = write
         else:
-            if not self._other:
-                self._other_since = now
-            self._other[key] = write
+            if not self._delayable:
+                self._delayable_since = now
+            self._delayable[key] = write
--- a/src/rackvalve/manager/commit.py
+++ b/src/rackvalve/manager/commit.py
@@ -1,9 +1,10 @@
-"""One commit of an owner: its conditions, and what its answers mean.
+"""One conditional commit of an owner, and what the store's answers to it mean.
 
-A commit holds only while the ownership and each of its records have the
-revisions that the owner knows.  So a deposed owner overwrites nothing, a
-commit that takes effect late is stopped by what was written since, and one
-without an answer is sent again as it was until it is known to be in the store.
+Used by ``writer``.  A commit takes effect only if the ownership and each of
+its records have the revisions that the owner knows.  So a deposed owner
+overwrites nothing, and a late commit fails if its records were written since.
+A commit without an answer is retried unchanged until it is known to be in the
+store.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
 
 
 class ConflictOutcome(enum.Enum):
-    """What a conflict comes to."""
+    """The meaning of a conflict for the commit that met it."""
 
-    # An earlier try of the same commit took effect.
+    # An earlier attempt at the same commit took effect.
     WRITTEN = "written"
-    # Keys that an earlier owner wrote have now a known revision: send again.
-    AGAIN = "again"
+    # The revisions of keys that an earlier owner wrote are now known: retry.
+    RETRY = "again"
     # Another process is the owner.
     DEPOSED = "deposed"
 
@@ -31,19 +32,20 @@
 
     def __init__(self) -> None:
         self._known: dict[str, int] = {}
-        # The greatest of them that a commit of this owner had.
+        # The greatest revision that a commit of this owner had; 0 before the
+        # first commit.
         self.last_committed = 0
 
     def set(self, key: str, revision: int) -> None:
-        """Take what a key's revision is.
+        """Set the revision of a key.
 
         :param key: The key.
-        :param revision: Its revision; 0 if it is absent.
+        :param revision: The key's revision; 0 if the key is absent.
         """
         self._known[key] = revision
 
     def find(self, key: str) -> int | None:
-        """Return a key's revision, ``None`` if it is not known.
+        """Return a key's revision, ``None`` if unknown.
 
         :param key: The key.
         """
@@ -58,11 +60,11 @@
 
 
 class Commit:
-    """Some records on their way to the store.
+    """A conditional write of several records.
 
     :param ownership: The condition that this process is the owner.
     :param payloads: The values by key; ``None`` removes the key.
-    :param revisions: What is known of keys; kept up to date.
+    :param revisions: The known revisions of keys; kept up to date.
     """
 
     __slots__ = ("_ownership", "payloads", "_revisions")
@@ -79,7 +81,7 @@
 
     @property
     def puts(self) -> list[stores.Put]:
-        """What it writes."""
+        """The records that the commit writes."""
         return [
             stores.Put(key=key, payload=payload)
             for key, payload in self.payloads.items()
@@ -88,17 +90,18 @@
 
     @property
     def removals(self) -> list[str]:
-        """Which keys it removes."""
+        """The keys that the commit removes."""
         return [
             key for key, payload in self.payloads.items() if payload is None
         ]
 
     def make_conditions(self) -> list[stores.Condition]:
-        """Return what must hold for it to take effect.
+        """Return the conditions of the commit.
 
-        A key of which nothing is known is taken as absent: if it is not, the
-        conflict tells its revision.  A removal of such a key has no condition
-        of its own: those are what callers handed in, written once.
+        A key of unknown revision is assumed absent; if the key exists, the
+        conflict tells its revision.  The removal of such a key has no
+        condition of its own: its record was submitted by a caller and is
+        written only once.
         """
         conditions = [self._ownership]
         for key, payload in self.payloads.items():
@@ -111,9 +114,9 @@
         return conditions
 
     def record_committed(self, revision: int) -> None:
-        """Note that it took effect.
+        """Record the revision of a commit that took effect.
 
-        :param revision: The store's revision of its writes.
+        :param revision: The store's revision of the commit's writes.
         """
         self._revisions.last_committed = max(
             self._revisions.last_committed, revision
@@ -125,11 +128,11 @@
                 self._revisions.set(key, revision)
 
     def resolve_conflict(self, conflict: stores.Conflict) -> ConflictOutcome:
-        """Find out why a condition did not hold.
+        """Find out why a condition failed, and update the known revisions.
 
         Only this process writes these keys while it is the owner.  So a
-        revision that differs is its own earlier try, or, for a key of which
-        it knew nothing, the work of an earlier owner.
+        revision that differs comes from its own earlier attempt or, for a key
+        of unknown revision, from an earlier owner.
 
         :param conflict: The store's answer.
         """
@@ -150,10 +153,10 @@
             if known is not None and known != revision:
                 return ConflictOutcome.DEPOSED
             self._revisions.set(condition.key, revision)
-        return ConflictOutcome.AGAIN
+        return ConflictOutcome.RETRY
 
     def _is_in_store(self, conflict: stores.Conflict) -> bool:
-        """Return whether the store holds what this commit would write."""
+        """Return whether the store already holds what this commit writes."""
         for key, payload in self.payloads.items():
             item = conflict.items.get(key)
             if (item.payload if item is not None else None) != payload:
--- a/src/rackvalve/manager/writer.py
+++ b/src/rackvalve/manager/writer.py
@@ -1,7 +1,6 @@
-"""Writes the owner's records to the store, several commits side by side.
+"""Writer of the owner's records to the store, with concurrent commits.
 
-What is sent when, is decided in ``backlog``; what an answer means, in
-``commit``.
+``backlog`` decides what is sent and when, ``commit`` what an answer means.
 """
 
 from __future__ import annotations
@@ -27,17 +26,17 @@
     | stores.Unknown
 )
 
-# The time limit of a try doubles so often at most: an outage has any number of
-# tries, and the limit's bound is reached long before.
-_MOST_DOUBLINGS = 10
+# Bounds the exponent of an attempt's timeout: an outage may cause any number
+# of attempts, and the timeout reaches its maximum long before.
+_MAX_DOUBLINGS = 10
 
 
 class Writer:
-    """Writes what one owner enqueues.
+    """Writes the records that one owner enqueues.
 
     :param store: The store.
     :param ownership: The condition that this process is the owner.
-    :param on_deposed: Called when another owner is found.
+    :param on_deposed: Called with the reason when another owner is found.
     :param on_contact: Called at each answer of the store, with the time at
         which its call was sent, in seconds.
     :param spawn: Runs a function in a greenlet that ends with the owner.
@@ -59,13 +58,13 @@
         self._spawn = spawn
         self._backlog = backlogs.Backlog()
         self._revisions = commits.Revisions()
-        # Set for a moment after each commit.
+        # Set and cleared at once after each commit, to wake those who wait.
         self._committed = event.Event()
-        # Whether the next commit may be due.
+        # Set when the next commit may be due.
         self._changed = event.Event()
 
     def load_revisions(self, items: tuple[stores.Item, ...]) -> None:
-        """Take the records that earlier owners have left.
+        """Load the revisions of the records that earlier owners wrote.
 
         :param items: All progress records, read under this ownership.
         """
@@ -74,21 +73,21 @@
 
     @property
     def number(self) -> int:
-        """Number of the last write."""
+        """Sequence number of the last write."""
         return self._backlog.number
 
     @property
     def durable(self) -> int:
-        """Number up to which all writes are in the store."""
+        """Sequence number up to which all writes are in the store."""
         return self._backlog.durable
 
     @property
     def committed_revision(self) -> int:
-        """The store's revision of the newest commit; 0 before the first."""
+        """The store's revision of the last commit; 0 before the first."""
         return self._revisions.last_committed
 
     def wait(self, timeout: float) -> None:
-        """Wait for the end of the next commit.
+        """Wait until the next commit is in the store.
 
         :param timeout: Longest wait, in seconds.
         """
@@ -101,29 +100,29 @@
         *,
         urgent: bool = True,
     ) -> None:
-        """Have a record written soon.
+        """Enqueue the write of a record.
 
-        :param key: Its key.
+        :param key: The record's key.
         :param make: Makes the record at the time of sending.
-        :param urgent: Whether something waits for it; if not, it goes with
-            the next that is, or after a short while.
+        :param urgent: Whether something waits for the record; if not, it is
+            sent with the next urgent one, or after ``WRITE_DELAY_S``.
         """
         self._backlog.enqueue(key, make, clocks.read_steady(), urgent=urgent)
         self._changed.set()
 
     def run(self) -> None:
-        """Send what is enqueued, until the greenlet is killed."""
+        """Send the enqueued writes, until the greenlet is killed."""
         while True:
             wait = self._backlog.find_wait(clocks.read_steady())
             if wait is None or wait > 0:
                 self._changed.wait(wait)
                 self._changed.clear()
                 continue
-            # Marks that are made while others are handled go together.
+            # Lets other greenlets enqueue their writes for the same commit.
             gevent.sleep(0)
-            self._begin()
+            self._send_next()
 
-    def _begin(self) -> None:
+    def _send_next(self) -> None:
         """Send the next commit, in a greenlet of its own."""
         batch = self._backlog.take(clocks.read_steady())
         records = {key: write.make() for key, write in batch.writes.items()}
@@ -145,38 +144,38 @@
                 record.written()
 
     def _commit(self, commit: commits.Commit) -> bool:
-        """Send a commit until it is known to be in the store.
+        """Send a commit, with retries, until it is known to be in the store.
 
         :return: Whether it is; if not, another process is the owner.
         """
-        tries = 0
+        attempts = 0
         while True:
             began = clocks.read_steady()
-            outcome = self._try(commit, tries)
-            tries += 1
+            outcome = self._attempt(commit, attempts)
+            attempts += 1
             if isinstance(outcome, stores.Committed):
                 commit.record_committed(outcome.revision)
                 return True
             if isinstance(outcome, stores.Conflict):
-                resolved = commit.resolve_conflict(outcome)
-                if resolved is commits.ConflictOutcome.DEPOSED:
+                result = commit.resolve_conflict(outcome)
+                if result is commits.ConflictOutcome.DEPOSED:
                     self._on_deposed("a record has another owner's revision")
                     return False
-                if resolved is commits.ConflictOutcome.WRITTEN:
+                if result is commits.ConflictOutcome.WRITTEN:
                     return True
                 continue
-            self._note_failure(commit, outcome)
-            # One that was waited for in vain is sent again at once.
+            self._log_failure(commit, outcome)
+            # A commit that timed out is retried at once.
             taken = clocks.read_steady() - began
             gevent.sleep(max(0.0, timing.STORE_PAUSE_S - taken))
 
-    def _try(self, commit: commits.Commit, tries: int) -> Outcome:
+    def _attempt(self, commit: commits.Commit, attempts: int) -> Outcome:
         sent = clocks.read_steady()
         outcome = self._store.commit(
             commit.make_conditions(),
             commit.puts,
             commit.removals,
-            timeout=_choose_timeout(tries),
+            timeout=_choose_timeout(attempts),
         )
         answered = isinstance(outcome, (stores.Committed, stores.Conflict))
         if answered:
@@ -185,7 +184,7 @@
         self._changed.set()
         return outcome
 
-    def _note_failure(self, commit: commits.Commit, outcome: Outcome) -> None:
+    def _log_failure(self, commit: commits.Commit, outcome: Outcome) -> None:
         logs.write_warning(
             "store.failed",
             call="commit",
@@ -196,11 +195,11 @@
         )
 
 
-def _choose_timeout(tries: int) -> float:
-    """Return how long to wait for the answer to a try, in seconds.
+def _choose_timeout(attempts: int) -> float:
+    """Return the timeout of an attempt, in seconds.
 
-    :param tries: How many went before.
+    :param attempts: The number of attempts before it.
     """
-    doubled = 2 ** min(tries, _MOST_DOUBLINGS)
-    longer: float = timing.COMMIT_TIMEOUT_S * doubled
-    return min(longer, timing.COMMIT_TIMEOUT_MOST_S)
+    factor = 2 ** min(attempts, _MAX_DOUBLINGS)
+    timeout: float = timing.COMMIT_TIMEOUT_S * factor
+    return min(timeout, timing.COMMIT_TIMEOUT_MOST_S)
