--- a/features/steps/isolation_steps.py
+++ b/features/steps/isolation_steps.py
@@ -171,7 +171,7 @@
         report_all(bench)
         bench.start_all()
         for run in list(other.runs.values()):
-            assert other.isolated == run.number
+            assert other.isolated_run == run.number
             bench.now += PROOF_S
             report_all(bench, without=run.worker)
             renew(context, run.worker)
@@ -198,7 +198,11 @@
 def count_crashes(bench, state, crashes, *, lived=0.5):
     """Let so many crashes count against each task of a job."""
     for task in state.tasks.values():
-        task.crashes, task.lived, task.not_before = crashes, lived, bench.now
+        task.crashes, task.time_to_crash, task.not_before = (
+            crashes,
+            lived,
+            bench.now,
+        )
         task.youngest_crashes = min(crashes, 1) if crashes > 1 else 0
         state.suspects.add(task.name)
 
@@ -432,4 +436,4 @@
     (other,) = context.other.tasks.values()
     assert first.youngest_crashes == 0, first.youngest_crashes
     assert other.youngest_crashes == 1, other.youngest_crashes
-    assert first.crashed_lives == other.crashed_lives
+    assert first.crashed_incarnations == other.crashed_incarnations
--- a/src/rackvalve/jobs/records.py
+++ b/src/rackvalve/jobs/records.py
@@ -17,7 +17,7 @@
 
 from rackvalve import errors
 from rackvalve.jobs import definition
-from rackvalve.jobs import lives
+from rackvalve.jobs import incarnations
 from rackvalve.jobs import progress
 
 T = TypeVar("T")
@@ -188,7 +188,7 @@
         caller could have handed in: its tasks would not fit into memory.
     """
     record = _decode(payload, _Definition)
-    definition.check(record.job)
+    definition.validate(record.job)
     return progress.JobState(
         identity,
         queue,
@@ -210,18 +210,18 @@
             failures=task.failures,
             checkpoint="" if task.done else task.checkpoint,
             runs=[
-                (run.number, lives.read_life(run.worker).worker)
+                (run.number, incarnations.parse_incarnation(run.worker).worker)
                 for run in task.runs.values()
             ],
             births=[
-                lives.read_life(run.worker).born or 0
+                incarnations.parse_incarnation(run.worker).born or 0
                 for run in task.runs.values()
             ],
             crashes=task.crashes,
             isolated_crashes=task.isolated_crashes,
-            lived=round(task.lived, 3),
-            isolated=task.isolated,
-            untold=[] if task.done else sorted(task.untold),
+            lived=round(task.time_to_crash, 3),
+            isolated=task.isolated_run,
+            untold=[] if task.done else sorted(task.unreported_runs),
         )
         for task in state.tasks.values()
         if task.done
@@ -229,7 +229,7 @@
         or task.runs
         or task.checkpoint
         or task.crashes
-        or task.untold
+        or task.unreported_runs
     ]
     return msgspec.json.encode(
         _Progress(
@@ -270,9 +270,9 @@
         task.checkpoint = row.checkpoint
         task.crashes = row.crashes
         task.isolated_crashes = row.isolated_crashes
-        task.lived = row.lived
-        task.isolated = row.isolated
-        task.untold.update(row.untold)
+        task.time_to_crash = row.lived
+        task.isolated_run = row.isolated
+        task.unreported_runs.update(row.untold)
         if task.crashes:
             state.suspects.add(task.name)
             # How long it has waited to be isolated is not known.
@@ -280,7 +280,7 @@
             _read_suspect(task, record.suspects.get(row.name))
         births = itertools.chain(row.births, itertools.repeat(0))
         for (number, worker), born in zip(row.runs, births, strict=False):
-            life = lives.Life(worker=worker, born=born or None)
+            life = incarnations.Incarnation(worker=worker, born=born or None)
             run = progress.Run(
                 number,
                 life.identity,
@@ -300,7 +300,7 @@
             youngest_crashes=task.youngest_crashes,
             prompt_crashes=task.prompt_crashes,
             explained=task.explained,
-            crashed_lives=sorted(task.crashed_lives),
+            crashed_lives=sorted(task.crashed_incarnations),
             crashed_on=sorted(task.crashed_on),
             settled_beside=sorted(task.settled_beside),
         )
@@ -316,7 +316,7 @@
     task.youngest_crashes = wire.youngest_crashes
     task.prompt_crashes = wire.prompt_crashes
     task.explained = wire.explained
-    task.crashed_lives.update(wire.crashed_lives)
+    task.crashed_incarnations.update(wire.crashed_lives)
     task.crashed_on.update(wire.crashed_on)
     task.settled_beside.update(wire.settled_beside)
 
@@ -324,7 +324,7 @@
 def _write_locations(state: progress.JobState) -> dict[str, _Location]:
     """Return where the workers of a job's runs can be asked."""
     return {
-        lives.read_life(run.worker).worker: _Location(
+        incarnations.parse_incarnation(run.worker).worker: _Location(
             host=run.location.host,
             port=run.location.port,
             vm=run.location.vm,
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -33,7 +33,7 @@
 from rackvalve.platform import machines as machine_clients
 from rackvalve.platform import store as stores
 from rackvalve.scheduling import book as books
-from rackvalve.scheduling import fences
+from rackvalve.scheduling import fencing_tokens
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import planner as planners
 from rackvalve.scheduling import queues
@@ -134,7 +134,7 @@
         self._reporter = reporters.Reporter(
             self._book, self._handler, self._planner, resources.telemetry
         )
-        self.fences = fences.Fences(fence)
+        self.fences = fencing_tokens.FencingTokens(fence)
         self._registry = worker_registries.WorkerRegistry(
             self, self._book, on_change=self._plan_wanted.set
         )
--- a/src/rackvalve/scheduling/releases.py
+++ b/src/rackvalve/scheduling/releases.py
@@ -62,7 +62,9 @@
     runs: tuple[ReleasedRun, ...]
 
 
-def make(worker: workers.WorkerState, proof: str, now: float) -> Release:
+def make_release(
+    worker: workers.WorkerState, proof: str, now: float
+) -> Release:
     """Return what a proof about a worker releases.
 
     Runs that no worker has heard of are left out: they never were.
@@ -75,7 +77,7 @@
         worker=worker.identity,
         vm=worker.location.vm if worker.location is not None else "",
         proof=proof,
-        fate=judge_fate(worker, proof),
+        fate=determine_fate(worker, proof),
         runs=tuple(
             ReleasedRun(
                 task=placed.full_name,
@@ -98,7 +100,7 @@
     return LISTED_OFF if worker.lease_over == float("-inf") else LEASE_OVER
 
 
-def judge_fate(worker: workers.WorkerState, proof: str) -> Fate:
+def determine_fate(worker: workers.WorkerState, proof: str) -> Fate:
     """Return what became of a worker whose runs a proof has ended.
 
     :param worker: The worker.
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from rackvalve.jobs import lives
+from rackvalve.jobs import incarnations
 from rackvalve.jobs import progress
 from rackvalve.scheduling import fleet
 
@@ -87,7 +87,7 @@
         self, identity: str, entry: fleet.Entry | None, lease_over: float
     ) -> None:
         self.identity = identity
-        self.life = lives.read_life(identity)
+        self.life = incarnations.parse_incarnation(identity)
         # Whether a later life has answered in its place.
         self.replaced = False
         self.entry = entry
@@ -150,7 +150,7 @@
         """
         key = (placed.full_name, placed.run.number)
         self.runs[key] = placed
-        if placed.task.crashes or placed.state.culprit_lived:
+        if placed.task.crashes or placed.state.known_time_to_crash:
             self.suspects[key] = placed
         self.free = self.free.minus(placed.need)
 
