--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -119,7 +119,7 @@
 
     def __init__(self, bench):
         self.bench = bench
-        self.fences = fencing_tokens.FencingTokens(7)
+        self.tokens = fencing_tokens.FencingTokens(7)
         self.deposed = ""
 
     def may_extend(self, now):
--- a/features/steps/late_start_steps.py
+++ b/features/steps/late_start_steps.py
@@ -34,7 +34,7 @@
     def __init__(self, may_extend):
         self.allowed = may_extend
         self.results = []
-        self.fences = fencing_tokens.FencingTokens(7)
+        self.tokens = fencing_tokens.FencingTokens(7)
 
     def may_extend(self, now):
         return self.allowed
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -297,11 +297,11 @@
     bench = benches.Bench([EARLIER])
     context.worker = bench.book.workers[EARLIER]
     context.owner = mock.Mock(
-        durable=0, fences=fencing_tokens.FencingTokens(7)
+        durable=0, tokens=fencing_tokens.FencingTokens(7)
     )
     if whose == "it itself":
         later = bench.book.add_life(LATER)
-        context.owner.fences.raise_for(later, 9)
+        context.owner.tokens.raise_for(later, 9)
     client = mock.Mock()
     client.hold.return_value = clients.Rejected(
         clock=1.0, reason=clients.Reason.FENCED
@@ -314,7 +314,7 @@
 
 @behave.then("by that refusal the owner {does}")
 def check_token(context, does):
-    shown = context.owner.fences.find(context.worker)
+    shown = context.owner.tokens.find(context.worker)
     assert shown == (9 if does == "uses that one" else 7), shown
     assert context.owner.depose.called == (does == "is deposed")
 
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -134,7 +134,7 @@
         self._reporter = reporters.Reporter(
             self._book, self._handler, self._planner, resources.telemetry
         )
-        self.fences = fencing_tokens.FencingTokens(fence)
+        self.tokens = fencing_tokens.FencingTokens(fence)
         self._registry = worker_registries.WorkerRegistry(
             self, self._book, on_change=self._plan_wanted.set
         )
@@ -238,7 +238,7 @@
             logs.write_event(
                 "worker.established",
                 worker=worker.identity,
-                fence=self.fences.find(worker),
+                fence=self.tokens.find(worker),
                 running=len(report.running),
                 ended=len(report.ended),
             )
--- a/src/rackvalve/manager/protocols.py
+++ b/src/rackvalve/manager/protocols.py
@@ -36,12 +36,12 @@
 
 
 class SessionOwner(Protocol):
-    """One owner as its contacts with workers see it.
+    """One owner as its sessions with workers see it.
 
-    :ivar fences: The fencing tokens that it shows to workers.
+    :ivar tokens: The fencing tokens that it shows to workers.
     """
 
-    fences: fencing_tokens.FencingTokens
+    tokens: fencing_tokens.FencingTokens
 
     @property
     def committed_revision(self) -> int:
--- a/src/rackvalve/manager/worker_registry.py
+++ b/src/rackvalve/manager/worker_registry.py
@@ -157,7 +157,7 @@
         :param identity: The incarnation.
         """
         self._pending_stops.pop(identity, None)
-        self._owner.fences.forget(identity)
+        self._owner.tokens.forget(identity)
         session = self._sessions.pop(identity, None)
         if session is not None:
             # In another greenlet, as one of the session's own may call this.
@@ -244,7 +244,7 @@
         if len(self._book.names.find(worker.life.worker)) > 1:
             # A greater token, so that this incarnation rejects calls that
             # were sent to earlier ones.
-            self._owner.fences.raise_for(
+            self._owner.tokens.raise_for(
                 worker, self._owner.committed_revision
             )
         session = worker_sessions.WorkerSession(self._owner, worker, client)
--- a/src/rackvalve/manager/worker_session.py
+++ b/src/rackvalve/manager/worker_session.py
@@ -168,7 +168,7 @@
         the next owner would meet it as well.
         """
         least = self._clock.find_least(clocks.read_steady())
-        fence = self._owner.fences.find(self._worker)
+        fence = self._owner.tokens.find(self._worker)
         try:
             outcome = call(least=least, fence=fence, **fields)
         except Exception as error:
@@ -218,7 +218,7 @@
             return
         if isinstance(outcome, clients.Rejected):
             is_fenced = outcome.reason is clients.Reason.FENCED
-            if is_fenced and not self._owner.fences.catch_up(self._worker):
+            if is_fenced and not self._owner.tokens.catch_up(self._worker):
                 self._owner.depose(
                     f"worker {self._worker.identity} has a greater token"
                 )
