--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -15,9 +15,9 @@
 from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import fencing_tokens
 from rackvalve.scheduling import fleet
+from rackvalve.scheduling import maintenance
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import queues
-from rackvalve.scheduling import upkeep
 from rackvalve.scheduling import worker_clock
 from rackvalve.scheduling import worker_restarts
 from rackvalve.scheduling import workers
@@ -66,7 +66,7 @@
         made = cores.make_cores(world.now, inherited_lease=lease)
         self.book, self.handler = made.book, made.handler
         self.planner = made.planner
-        self.upkeep = upkeep.Upkeep(self.book)
+        self.upkeep = maintenance.Upkeep(self.book)
         self.silence = failure_detector.FailureDetector(self.book, self.upkeep)
         if rules.keep_bound:
             self.book.set_configuration(make_configuration(rules.bound))
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -10,7 +10,7 @@
 from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import listings
-from rackvalve.scheduling import upkeep
+from rackvalve.scheduling import maintenance
 
 # Half of a VM, so that two tasks fill one.
 HALF = vms.WIDE.cpu // 2
@@ -243,9 +243,9 @@
         context.upkeep.decide(context.bench.now, short=True)
         if state.closed:
             closed_at = context.bench.now - began
-    aim = upkeep.AIM * state.wave.duration
+    aim = maintenance.AIM * state.wave.duration
     rounds = -(-len(state.wave.vms) // state.wave.most_away)
-    needed = (rounds - 1) * upkeep.AWAY_S + upkeep.CYCLE_S
+    needed = (rounds - 1) * maintenance.AWAY_S + maintenance.CYCLE_S
     assert abs(closed_at - (aim - needed)) <= 2 * TICK_S, closed_at
 
 
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -15,9 +15,9 @@
 from rackvalve.platform import store as stores
 from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import fleet
+from rackvalve.scheduling import maintenance
 from rackvalve.scheduling import queues
 from rackvalve.scheduling import sizing
-from rackvalve.scheduling import upkeep
 
 PREFIX = "op/evacuate/"
 SPARE = "spare"
@@ -139,7 +139,7 @@
             configuration, pools={**configuration.pools, SPARE: spare}
         )
     )
-    context.upkeep = upkeep.Upkeep(bench.book)
+    context.upkeep = maintenance.Upkeep(bench.book)
     vms = [make_vm(name, models.POOL, "a", worker=name) for name in names]
     vms += [make_vm(f"a{n}", SPARE, "a") for n in range(9)]
     vms += [make_vm(f"b{n}", SPARE, "b") for n in range(9)]
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -24,9 +24,9 @@
 from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import fencing_tokens
 from rackvalve.scheduling import fleet
+from rackvalve.scheduling import maintenance
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import queues
-from rackvalve.scheduling import upkeep
 
 EARLIER = "w1@1000"
 LATER = "w1@2000"
@@ -219,7 +219,7 @@
 )
 def follow_life(context, age):
     bench = context.bench = benches.Bench([])
-    context.upkeep = upkeep.Upkeep(bench.book)
+    context.upkeep = maintenance.Upkeep(bench.book)
     context.silence = failure_detector.FailureDetector(
         bench.book, context.upkeep
     )
--- a/features/steps/standing_steps.py
+++ b/features/steps/standing_steps.py
@@ -17,9 +17,9 @@
 from rackvalve.manager import reporter as reporters
 from rackvalve.manager import timing
 from rackvalve.scheduling import fleet
+from rackvalve.scheduling import maintenance
 from rackvalve.scheduling import queues
 from rackvalve.scheduling import standing
-from rackvalve.scheduling import upkeep
 from rackvalve import telemetry as telemetries
 from rackvalve.workspaces import account
 from rackvalve.workspaces import directory
@@ -102,7 +102,7 @@
         context.bench.now, context.bench.now
     ),
     "no worker confirms a start": lambda context: context.bench.plan(),
-    "a wave closes the workers": change_workers(closing=upkeep.CLOSED),
+    "a wave closes the workers": change_workers(closing=maintenance.CLOSED),
     "the workers are surplus": change_workers(closing="surplus"),
     "the workers fall silent": silence_all,
     "the workers were never heard": change_workers(established=False),
--- a/features/steps/upkeep_steps.py
+++ b/features/steps/upkeep_steps.py
@@ -12,11 +12,11 @@
 from rackvalve.jobs import definition
 from rackvalve.scheduling import eviction
 from rackvalve.scheduling import fleet
+from rackvalve.scheduling import maintenance
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import queues
 from rackvalve.scheduling import sharing
 from rackvalve.scheduling import sizing
-from rackvalve.scheduling import upkeep
 
 AWAY_S = 1.0
 
@@ -29,7 +29,7 @@
     context.vms = [f"w{number}" for number in range(count)]
     context.bench = benches.Bench(context.vms)
     vms.make_pools(context.bench.book)
-    context.upkeep = upkeep.Upkeep(context.bench.book)
+    context.upkeep = maintenance.Upkeep(context.bench.book)
     context.wave = fleet.Wave(
         number=1, vms=tuple(context.vms), duration=60.0, most_away=most
     )
@@ -112,7 +112,7 @@
     bench, care = context.bench, context.upkeep
     for worker in bench.book.workers.values():
         vm = worker.entry.vm
-        worker.closing = upkeep.CLOSED if vm in care.leaving() else ""
+        worker.closing = maintenance.CLOSED if vm in care.leaving() else ""
     care.take_list(
         [
             vms.list_vm(vm, worker=life, up=vm not in context.back)
@@ -185,7 +185,7 @@
 @behave.when("its VM is to leave for {reason}")
 def vacate(context, reason):
     patience = {
-        "maintenance": upkeep.PATIENCE_S,
+        "maintenance": maintenance.PATIENCE_S,
         "surplus": sizing.PATIENCE_S,
     }
     eviction.vacate(
@@ -311,7 +311,7 @@
         # So that no VM is empty and ordered at once.
         bench.add(definition.Step(cpu=1), identity=f"{vm:0>16}")
     bench.start_all()
-    aim = state.began + upkeep.AIM * state.wave.duration
+    aim = state.began + maintenance.AIM * state.wave.duration
     bench.now = aim - 0.5
     context.upkeep.decide(bench.now)
     assert len(state.closed) == few, state.closed
--- a/features/vm_bench.py
+++ b/features/vm_bench.py
@@ -8,9 +8,9 @@
 from features import job_models as models
 from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import fleet
+from rackvalve.scheduling import maintenance
 from rackvalve.scheduling import queues
 from rackvalve.scheduling import sizing
-from rackvalve.scheduling import upkeep
 
 OTHER = "other"
 SPARE = "spare"
@@ -47,7 +47,7 @@
     names = [f"w{number}" for number in range(count)]
     context.bench = benches.Bench(names, capacity=WIDE)
     make_pools(context.bench.book)
-    context.upkeep = upkeep.Upkeep(context.bench.book)
+    context.upkeep = maintenance.Upkeep(context.bench.book)
     context.silence = failure_detector.FailureDetector(
         context.bench.book, context.upkeep
     )
--- a/src/rackvalve/manager/caretaker.py
+++ b/src/rackvalve/manager/caretaker.py
@@ -20,8 +20,8 @@
 from rackvalve.scheduling import book as books
 from rackvalve.scheduling import closures
 from rackvalve.scheduling import failure_detector
+from rackvalve.scheduling import maintenance as maintenances
 from rackvalve.scheduling import sizing as sizings
-from rackvalve.scheduling import upkeep as upkeeps
 from rackvalve.scheduling import workers
 from rackvalve import telemetry as telemetries
 
@@ -96,7 +96,7 @@
         self._fence = fence
         self._telemetry = telemetry
         self._on_change = on_change
-        self._upkeep = upkeeps.Upkeep(book)
+        self._upkeep = maintenances.Upkeep(book)
         self._silence = failure_detector.FailureDetector(book, self._upkeep)
         self._sizing = sizings.Sizing(book, self._upkeep, self._silence)
         self._order_pause = order_pause
@@ -277,7 +277,7 @@
         }
         closed |= self._sizing.find_closures()
         for vm in self._upkeep.leaving():
-            closed[vm] = closures.Closure(reason=upkeeps.CLOSED)
+            closed[vm] = closures.Closure(reason=maintenances.CLOSED)
         self._book.closures.set(closed)
         for worker in self._book.workers.values():
             self._book.closures.apply(worker)
@@ -383,7 +383,7 @@
         }
         return backlogs.Record(payload=msgspec.json.encode(self._moves))
 
-    def _maintain(self, order: upkeeps.MaintainVm) -> None:
+    def _maintain(self, order: maintenances.MaintainVm) -> None:
         """Have a VM maintained, once the store knows of it."""
         self._record_waves()
         if self._moves.pop(order.vm, None):
@@ -440,7 +440,7 @@
             self._record_wave(number, state)
             self._publish_status(number, state)
 
-    def _record_wave(self, number: int, state: upkeeps.WaveState) -> None:
+    def _record_wave(self, number: int, state: maintenances.WaveState) -> None:
         record = _Record(
             ordered=sorted(state.ordered), done=sorted(state.done)
         )
@@ -451,7 +451,9 @@
                 functools.partial(_make_record, record, state.began),
             )
 
-    def _publish_status(self, number: int, state: upkeeps.WaveState) -> None:
+    def _publish_status(
+        self, number: int, state: maintenances.WaveState
+    ) -> None:
         status = "completed" if state.complete else "running"
         if state.published != status:
             state.published = status
--- a/src/rackvalve/scheduling/failure_detector.py
+++ b/src/rackvalve/scheduling/failure_detector.py
@@ -15,7 +15,7 @@
 
 from rackvalve.scheduling import book as books
 from rackvalve.scheduling import listings
-from rackvalve.scheduling import upkeep as upkeeps
+from rackvalve.scheduling import maintenance as maintenances
 from rackvalve.scheduling import workers
 
 # A worker that has not answered for this long is worth a look at the
@@ -50,7 +50,7 @@
         "has_overdue",
     )
 
-    def __init__(self, book: books.Book, upkeep: upkeeps.Upkeep) -> None:
+    def __init__(self, book: books.Book, upkeep: maintenances.Upkeep) -> None:
         self._book = book
         self._upkeep = upkeep
         self._listings = listings.Listings()
--- a/src/rackvalve/scheduling/hindrance.py
+++ b/src/rackvalve/scheduling/hindrance.py
@@ -17,9 +17,9 @@
 from rackvalve.scheduling import book as books
 from rackvalve.scheduling import crashes
 from rackvalve.scheduling import fleet
+from rackvalve.scheduling import maintenance
 from rackvalve.scheduling import planner as planners
 from rackvalve.scheduling import queues
-from rackvalve.scheduling import upkeep
 from rackvalve.scheduling import workers
 
 
@@ -101,7 +101,7 @@
         return Availability.SILENT
     if worker.entry.draining:
         return Availability.DRAINING
-    if worker.closing == upkeep.CLOSED:
+    if worker.closing == maintenance.CLOSED:
         return Availability.WAVE
     if worker.evacuated:
         return Availability.EVACUATED
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -17,7 +17,7 @@
 from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import forecast as forecasts
-from rackvalve.scheduling import upkeep as upkeeps
+from rackvalve.scheduling import maintenance as maintenances
 from rackvalve.scheduling import workers
 
 # Room beyond the demand: for uneven packing and work that comes meanwhile.
@@ -107,7 +107,7 @@
     def __init__(
         self,
         book: books.Book,
-        upkeep: upkeeps.Upkeep,
+        upkeep: maintenances.Upkeep,
         silence: failure_detector.FailureDetector,
     ) -> None:
         self._book = book
@@ -155,7 +155,7 @@
         """
         reserved = 0
         for size in self.pools.values():
-            expected = size.forecast.expect(now, upkeeps.AWAY_S)
+            expected = size.forecast.expect(now, maintenances.AWAY_S)
             reserved += max(0, math.ceil(expected * HEADROOM) - size.have)
         return reserved
 
@@ -214,7 +214,7 @@
     def _count(self, now: float) -> None:
         """Count what each pool has and wants."""
         measured = demands.measure(self._book, now)
-        spreads = upkeeps.measure_spreads(self._book)
+        spreads = maintenances.measure_spreads(self._book)
         for name, pool in self._book.configuration.pools.items():
             if pool.spare:
                 self.pools.pop(name, None)
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -20,12 +20,12 @@
 from rackvalve.scheduling import book as books
 from rackvalve.scheduling import endings
 from rackvalve.scheduling import fleet
+from rackvalve.scheduling import maintenance as maintenances
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import planner as planners
 from rackvalve.scheduling import queues
 from rackvalve.scheduling import reports
 from rackvalve.scheduling import sizing as sizings
-from rackvalve.scheduling import upkeep as upkeeps
 from tools.emulator import effects
 from tools.emulator import loads
 from tools.emulator import plans
@@ -90,7 +90,7 @@
                 entry_grace=timing.ENTRY_GRACE_S,
             ),
         )
-        self.upkeep = upkeeps.Upkeep(self.book)
+        self.upkeep = maintenances.Upkeep(self.book)
         self.silence = policy.silence(self.book, self.upkeep)
         self.sizing = sizings.Sizing(self.book, self.upkeep, self.silence)
         self.vms = {
@@ -275,7 +275,7 @@
             vm = worker.entry.vm if worker.entry is not None else ""
             worker.closing = ""
             if vm in waves:
-                worker.closing = upkeeps.CLOSED
+                worker.closing = maintenances.CLOSED
             elif vm in surplus or worker.identity in departing:
                 worker.closing = sizings.SURPLUS
             worker.leaves_later = vm in later
@@ -330,7 +330,7 @@
         vm.pool = pool
         self.at(self.now + MOVE_S + APPEAR_S, functools.partial(_up, self, vm))
 
-    def _maintain(self, order: upkeeps.MaintainVm) -> None:
+    def _maintain(self, order: maintenances.MaintainVm) -> None:
         vm = self.vms[order.vm]
         if not vm.up:
             self.upkeep.note_refused(order, self.now, for_good=False)
