--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -66,8 +66,10 @@
         made = cores.make_cores(world.now, inherited_lease=lease)
         self.book, self.handler = made.book, made.handler
         self.planner = made.planner
-        self.upkeep = maintenance.Upkeep(self.book)
-        self.silence = failure_detector.FailureDetector(self.book, self.upkeep)
+        self.maintenance = maintenance.MaintenancePlanner(self.book)
+        self.silence = failure_detector.FailureDetector(
+            self.book, self.maintenance
+        )
         if rules.keep_bound:
             self.book.set_configuration(make_configuration(rules.bound))
         self.refresh()
@@ -149,7 +151,7 @@
         if self.deposed:
             return
         if self.listed is not None:
-            self.upkeep.take_list(*self.listed)
+            self.maintenance.take_list(*self.listed)
             self.listed = None
         self.silence.check(self.world.now)
         self.planner.stop_and_release(self.world.now, self.world.now)
--- a/features/steps/caretaker_steps.py
+++ b/features/steps/caretaker_steps.py
@@ -120,7 +120,7 @@
         context.caretaker.load((item,))
         for tenths in range(40):
             context.caretaker._release_held(context.clock["now"])
-            for vm in context.caretaker._upkeep.held:
+            for vm in context.caretaker._maintenance.held:
                 context.held[vm] = tenths / 10
             context.clock["now"] += 0.1
 
@@ -217,7 +217,7 @@
 
 @behave.then("the wave has {left:d} seconds left")
 def check_time_left(context, left):
-    state = context.caretaker._upkeep.waves[1]
+    state = context.caretaker._maintenance.waves[1]
     until = state.began + WAVE.duration
     assert until - context.clocks.steady == left, until
 
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -50,7 +50,7 @@
     while bench.now < until:
         bench.now += TICK_S
         read = bench.now if context.list_read is None else context.list_read
-        context.upkeep.take_list(list(context.listed.values()), read)
+        context.maintenance.take_list(list(context.listed.values()), read)
         for name in context.names:
             if name not in context.silent:
                 bench.report(name, bench.rows(name))
@@ -85,7 +85,7 @@
 @behave.given("the platform's list has named all of them")
 def list_all(context):
     read = context.bench.now - 2.0
-    context.upkeep.take_list(list(context.listed.values()), read)
+    context.maintenance.take_list(list(context.listed.values()), read)
     context.silence.check(context.bench.now)
 
 
@@ -235,12 +235,12 @@
 
 @behave.then("no VM is closed while the wave can still be in time, but later")
 def check_waits(context):
-    (state,) = context.upkeep.waves.values()
+    (state,) = context.maintenance.waves.values()
     began = context.bench.now
     closed_at = None
     while closed_at is None:
         context.bench.now += TICK_S
-        context.upkeep.decide(context.bench.now, short=True)
+        context.maintenance.decide(context.bench.now, short=True)
         if state.closed:
             closed_at = context.bench.now - began
     aim = maintenance.AIM * state.wave.duration
@@ -253,9 +253,11 @@
 def begin_spare_wave(context):
     spares = tuple(name for name in context.listed if name.startswith("s"))
     wave = fleet.Wave(number=1, vms=spares, duration=1000.0, most_away=5)
-    context.upkeep.add_wave(wave, context.bench.now)
-    context.upkeep.take_list(list(context.listed.values()), context.bench.now)
-    context.orders = context.upkeep.decide(context.bench.now)
+    context.maintenance.add_wave(wave, context.bench.now)
+    context.maintenance.take_list(
+        list(context.listed.values()), context.bench.now
+    )
+    context.orders = context.maintenance.decide(context.bench.now)
 
 
 @behave.then("{count:d} VMs are maintained at once")
@@ -266,13 +268,13 @@
 @behave.when("a new owner takes over and 2 of them were ordered just before")
 def restore_wave(context):
     context.ordered = context.vms[:2]
-    context.upkeep.restore(1, context.ordered, [], context.bench.now)
-    context.upkeep.held = frozenset(context.ordered)
+    context.maintenance.restore(1, context.ordered, [], context.bench.now)
+    context.maintenance.held = frozenset(context.ordered)
 
 
 @behave.then("no other VM is maintained before those are back")
 def check_counted(context):
-    bench, wave = context.bench, context.upkeep
+    bench, wave = context.bench, context.maintenance
     bench.now += 30.0
     assert not wave.decide(bench.now)
     # The platform carries the orders out only now.
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -139,15 +139,15 @@
             configuration, pools={**configuration.pools, SPARE: spare}
         )
     )
-    context.upkeep = maintenance.Upkeep(bench.book)
+    context.maintenance = maintenance.MaintenancePlanner(bench.book)
     vms = [make_vm(name, models.POOL, "a", worker=name) for name in names]
     vms += [make_vm(f"a{n}", SPARE, "a") for n in range(9)]
     vms += [make_vm(f"b{n}", SPARE, "b") for n in range(9)]
-    context.upkeep.take_list(vms, bench.now)
+    context.maintenance.take_list(vms, bench.now)
     context.sizing = sizing.Sizing(
         bench.book,
-        context.upkeep,
-        failure_detector.FailureDetector(bench.book, context.upkeep),
+        context.maintenance,
+        failure_detector.FailureDetector(bench.book, context.maintenance),
     )
 
 
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -96,7 +96,7 @@
 
 def _decide(bench):
     """Let all that decides look at the book once."""
-    care = maintenance.Upkeep(bench.book)
+    care = maintenance.MaintenancePlanner(bench.book)
     silent = failure_detector.FailureDetector(bench.book, care)
     sizes = sizing.Sizing(bench.book, care, silent)
     silent.check(bench.now)
@@ -179,7 +179,7 @@
     answer(rng, {"machines": rows, "next-token": None})
     client = connections.HttpClient("127.0.0.1", 1)
     found = machines.Machines(client, "vm", timeout=TIMEOUT_S).list_vms()
-    care = maintenance.Upkeep(bench.book)
+    care = maintenance.MaintenancePlanner(bench.book)
     if isinstance(found, list):
         care.take_list(found, bench.now)
     silent = failure_detector.FailureDetector(bench.book, care)
@@ -256,7 +256,7 @@
     view = views.View()
     for key, document in documents.items():
         view.apply_item(make_item(key, odd_answers.vary(rng, document)))
-    care = maintenance.Upkeep(bench.book)
+    care = maintenance.MaintenancePlanner(bench.book)
     for wave in view.waves.values():
         care.add_wave(wave, bench.now)
     if view.configuration is not None:
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -219,9 +219,9 @@
 )
 def follow_life(context, age):
     bench = context.bench = benches.Bench([])
-    context.upkeep = maintenance.Upkeep(bench.book)
+    context.maintenance = maintenance.MaintenancePlanner(bench.book)
     context.silence = failure_detector.FailureDetector(
-        bench.book, context.upkeep
+        bench.book, context.maintenance
     )
     bench.book.set_entry(make_entry(LATER))
     bench.add(definition.Step(tasks=1, cpu=1))
@@ -243,7 +243,7 @@
 def take_list(context, worker):
     bench = context.bench
     row = vm_bench.list_vm(EARLIER, worker=worker, up=bool(worker))
-    context.upkeep.take_list([row], bench.now)
+    context.maintenance.take_list([row], bench.now)
     context.silence.check(bench.now)
 
 
--- a/features/steps/sizing_steps.py
+++ b/features/steps/sizing_steps.py
@@ -41,8 +41,8 @@
         duration=60.0,
         most_away=count,
     )
-    context.upkeep.add_wave(wave, context.bench.now)
-    context.upkeep.waves[1].closed.update(wave.vms)
+    context.maintenance.add_wave(wave, context.bench.now)
+    context.maintenance.waves[1].closed.update(wave.vms)
     context.moves = vms.step_sizing(context, 0.5)
 
 
--- a/features/steps/turn_steps.py
+++ b/features/steps/turn_steps.py
@@ -20,7 +20,7 @@
     wave = fleet.Wave(
         number=1, vms=tuple(names), duration=float(seconds), most_away=most
     )
-    context.upkeep.add_wave(wave, context.bench.now)
+    context.maintenance.add_wave(wave, context.bench.now)
 
 
 @behave.given(
@@ -33,7 +33,7 @@
 
 
 def decide_waves(context):
-    return context.upkeep.decide(
+    return context.maintenance.decide(
         context.bench.now,
         short=context.sizing.is_short,
         reserved=context.sizing.count_reserved(context.bench.now),
@@ -97,7 +97,9 @@
     "1 VM is closed, and {count:d} move to the pool for it and for the next 3"
 )
 def check_places(context, count):
-    assert len(context.upkeep.leaving()) == 1, context.upkeep.leaving()
+    assert len(context.maintenance.leaving()) == 1, (
+        context.maintenance.leaving()
+    )
     assert len(context.moves) == count, context.moves
     assert {move.pool for move in context.moves} == {models.POOL}
 
--- a/features/steps/upkeep_steps.py
+++ b/features/steps/upkeep_steps.py
@@ -29,12 +29,12 @@
     context.vms = [f"w{number}" for number in range(count)]
     context.bench = benches.Bench(context.vms)
     vms.make_pools(context.bench.book)
-    context.upkeep = maintenance.Upkeep(context.bench.book)
+    context.maintenance = maintenance.MaintenancePlanner(context.bench.book)
     context.wave = fleet.Wave(
         number=1, vms=tuple(context.vms), duration=60.0, most_away=most
     )
-    context.upkeep.add_wave(context.wave, context.bench.now)
-    context.upkeep.take_list(
+    context.maintenance.add_wave(context.wave, context.bench.now)
+    context.maintenance.take_list(
         [vms.list_vm(vm) for vm in context.vms], context.bench.now
     )
     context.most = most
@@ -48,7 +48,7 @@
     context.lives = {vm: vm for vm in context.vms}
     # When each VM that is away comes back.
     context.back = {}
-    state = context.upkeep.waves[1]
+    state = context.maintenance.waves[1]
     for number in range(600):
         bench.now += 0.1
         if number % 10 == 0:
@@ -79,7 +79,7 @@
 
 def maintain_chosen(context):
     """Carry out the orders to VMs, and note what ran on them."""
-    bench, care = context.bench, context.upkeep
+    bench, care = context.bench, context.maintenance
     for order in care.decide(bench.now):
         worker = bench.book.workers[context.lives[order.vm]]
         context.busy.extend(worker.runs)
@@ -109,7 +109,7 @@
 
 def close_and_list(context):
     """Tell workers whether they are closed, and list all VMs."""
-    bench, care = context.bench, context.upkeep
+    bench, care = context.bench, context.maintenance
     for worker in bench.book.workers.values():
         vm = worker.entry.vm
         worker.closing = maintenance.CLOSED if vm in care.leaving() else ""
@@ -150,7 +150,7 @@
 @behave.then("the wave is complete only after the last of them")
 def check_complete(context):
     assert not context.early
-    assert context.upkeep.waves[1].complete
+    assert context.maintenance.waves[1].complete
 
 
 @behave.when(
@@ -161,14 +161,14 @@
     bench.add(definition.Step(tasks=2, cpu=4))
     orders = bench.start_all()
     assert len(orders) == 2
-    context.upkeep.take_list(
+    context.maintenance.take_list(
         [vms.list_vm(vm, worker=f"old-{vm}") for vm in context.vms], bench.now
     )
 
 
 @behave.then("that VM is not maintained")
 def check_not_maintained(context):
-    assert not context.upkeep.decide(context.bench.now)
+    assert not context.maintenance.decide(context.bench.now)
 
 
 @behave.given(
@@ -206,7 +206,7 @@
     found = set()
     for _ in range(tenths):
         context.bench.now += 0.1
-        for order in context.upkeep.decide(context.bench.now):
+        for order in context.maintenance.decide(context.bench.now):
             found.add(order.vm)
     return found
 
@@ -214,7 +214,7 @@
 @behave.when("an owner that had ordered 1 VM and finished 2 is replaced")
 def restore(context):
     ordered, *done = context.vms[:3]
-    context.upkeep.restore(1, [ordered], done, context.bench.now)
+    context.maintenance.restore(1, [ordered], done, context.bench.now)
     context.expected = {ordered}
 
 
@@ -245,8 +245,8 @@
         bench.now += 0.1
         for worker in bench.book.workers.values():
             worker.answered = bench.now
-        assert not context.upkeep.decide(bench.now) and not bench.stops()
-        leaving = context.upkeep.leaving()
+        assert not context.maintenance.decide(bench.now) and not bench.stops()
+        leaving = context.maintenance.leaving()
         context.ever |= leaving
         closed = {vm: closed.get(vm, 0.0) + 0.1 for vm in leaving}
         context.stretch = max(context.stretch, *closed.values(), 0.0)
@@ -270,18 +270,18 @@
     context.found = []
     for _ in range(300):
         context.bench.now += 0.1
-        context.upkeep.take_list(
+        context.maintenance.take_list(
             [vms.list_vm(vm, lost=vm in context.lost) for vm in context.vms],
             context.bench.now,
         )
-        for order in context.upkeep.decide(context.bench.now):
+        for order in context.maintenance.decide(context.bench.now):
             context.found.append(order.vm)
             if order.vm in context.lost:
-                context.upkeep.note_refused(
+                context.maintenance.note_refused(
                     order, context.bench.now, for_good=False
                 )
             else:
-                context.upkeep.note_ordered(order, context.bench.now)
+                context.maintenance.note_ordered(order, context.bench.now)
 
 
 @behave.then("only the others are ordered within 30 seconds")
@@ -291,7 +291,7 @@
 
 @behave.when("{count:d} of the VMs were ordered lately by another owner")
 def hold_vms(context, count):
-    context.upkeep.held = frozenset(context.vms[:count])
+    context.maintenance.held = frozenset(context.vms[:count])
 
 
 @behave.then("only the other VM is maintained")
@@ -305,7 +305,7 @@
     "later"
 )
 def check_late(context, few, many):
-    state = context.upkeep.waves[1]
+    state = context.maintenance.waves[1]
     bench = context.bench
     for vm in context.vms:
         # So that no VM is empty and ordered at once.
@@ -313,10 +313,10 @@
     bench.start_all()
     aim = state.began + maintenance.AIM * state.wave.duration
     bench.now = aim - 0.5
-    context.upkeep.decide(bench.now)
+    context.maintenance.decide(bench.now)
     assert len(state.closed) == few, state.closed
     bench.now = aim + 0.5
-    context.upkeep.decide(bench.now)
+    context.maintenance.decide(bench.now)
     assert len(state.closed) == many, state.closed
 
 
@@ -333,8 +333,8 @@
 
 @behave.then("at most 1 VM is closed at a time")
 def check_closed_at_once(context):
-    context.upkeep.decide(context.bench.now)
-    assert len(context.upkeep.leaving()) == 1
+    context.maintenance.decide(context.bench.now)
+    assert len(context.maintenance.leaving()) == 1
 
 
 @behave.given(
--- a/features/vm_bench.py
+++ b/features/vm_bench.py
@@ -47,12 +47,12 @@
     names = [f"w{number}" for number in range(count)]
     context.bench = benches.Bench(names, capacity=WIDE)
     make_pools(context.bench.book)
-    context.upkeep = maintenance.Upkeep(context.bench.book)
+    context.maintenance = maintenance.MaintenancePlanner(context.bench.book)
     context.silence = failure_detector.FailureDetector(
-        context.bench.book, context.upkeep
+        context.bench.book, context.maintenance
     )
     context.sizing = sizing.Sizing(
-        context.bench.book, context.upkeep, context.silence
+        context.bench.book, context.maintenance, context.silence
     )
     context.listed = {name: list_vm(name) for name in names}
     for number in range(spares):
@@ -67,7 +67,7 @@
     until = context.bench.now + seconds
     while context.bench.now < until:
         context.bench.now += 0.1
-        context.upkeep.take_list(
+        context.maintenance.take_list(
             list(context.listed.values()), context.bench.now
         )
         for name in context.names:
--- a/src/rackvalve/manager/caretaker.py
+++ b/src/rackvalve/manager/caretaker.py
@@ -96,9 +96,11 @@
         self._fence = fence
         self._telemetry = telemetry
         self._on_change = on_change
-        self._upkeep = maintenances.Upkeep(book)
-        self._silence = failure_detector.FailureDetector(book, self._upkeep)
-        self._sizing = sizings.Sizing(book, self._upkeep, self._silence)
+        self._maintenance = maintenances.MaintenancePlanner(book)
+        self._silence = failure_detector.FailureDetector(
+            book, self._maintenance
+        )
+        self._sizing = sizings.Sizing(book, self._maintenance, self._silence)
         self._order_pause = order_pause
         # VMs that an earlier owner has given orders to, and until when they
         # are left alone.
@@ -156,7 +158,7 @@
         number = int(item.key.removeprefix(PREFIX))
         record = msgspec.json.decode(item.payload, type=_Record)
         elapsed = record.count_elapsed(clocks.read_wall())
-        self._upkeep.restore(
+        self._maintenance.restore(
             number,
             record.ordered,
             record.done,
@@ -177,7 +179,7 @@
 
     def _choose_list_interval(self) -> float:
         """Return how often the VMs are listed now, in seconds."""
-        if self._upkeep.is_busy or self._silence.has_overdue:
+        if self._maintenance.is_busy or self._silence.has_overdue:
             return timing.LIST_BUSY_INTERVAL_S
         if self._sizing.moving:
             return timing.LIST_BUSY_INTERVAL_S
@@ -207,7 +209,7 @@
                     worker.ordered_away = False
                 # Where the list does not show its move, there was none.
                 self._sizing.give_up(vm)
-        self._upkeep.held = frozenset(self._held)
+        self._maintenance.held = frozenset(self._held)
 
     def _forget_ordered(self, now: float) -> None:
         """Have the record forget what was ordered longer ago than the pause.
@@ -231,7 +233,7 @@
 
     def _take_waves(self) -> None:
         for wave in self._view.waves.values():
-            if self._upkeep.add_wave(wave, clocks.read_steady()):
+            if self._maintenance.add_wave(wave, clocks.read_steady()):
                 logs.write_event(
                     "wave.taken",
                     wave=wave.number,
@@ -246,7 +248,7 @@
         if isinstance(found, clients.Unavailable):
             logs.write_warning("vms.failed", call="list", reason=found.reason)
             return
-        self._upkeep.take_list(found, self._listed)
+        self._maintenance.take_list(found, self._listed)
 
     def _step(self, now: float) -> None:
         for worker in self._silence.check(now):
@@ -255,7 +257,7 @@
                 worker=worker,
                 reason="its VM is listed without it",
             )
-        for maintain in self._upkeep.decide(
+        for maintain in self._maintenance.decide(
             now,
             short=self._sizing.is_short,
             reserved=self._sizing.count_reserved(now),
@@ -271,12 +273,12 @@
     def _apply_closing(self) -> None:
         """Tell the workers whether they take no work, and why."""
         self._book.set_evacuated(self._view.evacuated)
-        later = self._upkeep.later()
+        later = self._maintenance.later()
         closed = {
             vm: closures.Closure(reason=UNCERTAIN) for vm in self._uncertain
         }
         closed |= self._sizing.find_closures()
-        for vm in self._upkeep.leaving():
+        for vm in self._maintenance.leaving():
             closed[vm] = closures.Closure(reason=maintenances.CLOSED)
         self._book.closures.set(closed)
         for worker in self._book.workers.values():
@@ -405,9 +407,11 @@
             reason=getattr(outcome, "reason", ""),
         )
         if isinstance(outcome, clients.Ordered):
-            self._upkeep.note_ordered(order, now)
+            self._maintenance.note_ordered(order, now)
         else:
-            self._upkeep.note_refused(order, now, for_good=_is_final(outcome))
+            self._maintenance.note_refused(
+                order, now, for_good=_is_final(outcome)
+            )
 
     def _move(self, order: sizings.MoveVm) -> None:
         """Move a VM to another pool."""
@@ -436,7 +440,7 @@
                 self._sizing.give_up(order.vm)
 
     def _record_waves(self) -> None:
-        for number, state in self._upkeep.waves.items():
+        for number, state in self._maintenance.waves.items():
             self._record_wave(number, state)
             self._publish_status(number, state)
 
--- a/src/rackvalve/scheduling/failure_detector.py
+++ b/src/rackvalve/scheduling/failure_detector.py
@@ -36,12 +36,12 @@
     """Looks at the answers of all workers and at the platform's list.
 
     :param book: The book with the workers.
-    :param upkeep: Has the platform's list of VMs.
+    :param maintenance: Has the platform's list of VMs.
     """
 
     __slots__ = (
         "_book",
-        "_upkeep",
+        "_maintenance",
         "_listings",
         "_since",
         "_lost",
@@ -50,9 +50,11 @@
         "has_overdue",
     )
 
-    def __init__(self, book: books.Book, upkeep: maintenances.Upkeep) -> None:
+    def __init__(
+        self, book: books.Book, maintenance: maintenances.MaintenancePlanner
+    ) -> None:
         self._book = book
-        self._upkeep = upkeep
+        self._maintenance = maintenance
         self._listings = listings.Listings()
         # When each worker was first seen here, in seconds.
         self._since: dict[str, float] = {}
@@ -72,8 +74,8 @@
         :return: Workers that were newly found to be lost.
         """
         self._listings.take(
-            self._upkeep.vms,
-            self._upkeep.read,
+            self._maintenance.vms,
+            self._maintenance.read,
             {worker.life.worker for worker in self._book.workers.values()},
         )
         # Also those that only records name: their entries are gone.
--- a/src/rackvalve/scheduling/maintenance.py
+++ b/src/rackvalve/scheduling/maintenance.py
@@ -122,7 +122,7 @@
         ]
 
 
-class Upkeep:
+class MaintenancePlanner:
     """Decides over all waves.
 
     :param book: The book whose workers are closed and vacated.
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -91,13 +91,13 @@
     """Decides over the sizes of all pools.
 
     :param book: The book.
-    :param upkeep: The waves, whose VMs are left alone.
+    :param maintenance: The waves, whose VMs are left alone.
     :param silence: Who is out of reach.
     """
 
     __slots__ = (
         "_book",
-        "_upkeep",
+        "_maintenance",
         "_silence",
         "pools",
         "moving",
@@ -107,16 +107,16 @@
     def __init__(
         self,
         book: books.Book,
-        upkeep: maintenances.Upkeep,
+        maintenance: maintenances.MaintenancePlanner,
         silence: failure_detector.FailureDetector,
     ) -> None:
         self._book = book
-        self._upkeep = upkeep
+        self._maintenance = maintenance
         self._silence = silence
         self.pools: dict[str, PoolSize] = {}
         # New pools by VM, until the list shows the VM there.
         self.moving: dict[str, str] = {}
-        upkeep.moving = self.moving.keys()
+        maintenance.moving = self.moving.keys()
         self.arrived: dict[str, float] = {}
 
     def leaving(self) -> set[str]:
@@ -129,7 +129,7 @@
         :param now: Present time, in seconds.
         """
         spare = self._find_spare_pool()
-        if spare is None or not self._upkeep.vms:
+        if spare is None or not self._maintenance.vms:
             return []
         self._settle(now)
         self._count(now)
@@ -146,7 +146,7 @@
         return any(size.lacks for size in self.pools.values())
 
     def count_reserved(self, now: float) -> int:
-        """Return how many VMs the pools will ask for during an upkeep.
+        """Return how many VMs the pools will ask for during maintenance.
 
         A VM that is closed now is missed until it is back; so is each one
         that a pool needs meanwhile and that a wave has taken before.
@@ -191,7 +191,7 @@
     def _begin(self, vm: str, pool: str) -> MoveVm:
         """Choose a move; from now on the VM's workers take no work."""
         self.moving[vm] = pool
-        for worker in self._upkeep.workers_on(vm):
+        for worker in self._maintenance.workers_on(vm):
             worker.closing = SURPLUS
         if pool in self.pools:
             self.pools[pool].have += 1
@@ -206,7 +206,7 @@
     def _settle(self, now: float) -> None:
         """Forget moves that the platform's list shows to be over."""
         for vm, pool in list(self.moving.items()):
-            listed = self._upkeep.vms.get(vm)
+            listed = self._maintenance.vms.get(vm)
             if listed is None or _has_arrived(listed, pool):
                 del self.moving[vm]
                 self.arrived[vm] = now
@@ -224,7 +224,7 @@
             size.spread = spreads.get(name, 0)
             size.rotating = 0
             if size.spread:
-                size.rotating = self._upkeep.count_rotating(name, now)
+                size.rotating = self._maintenance.count_rotating(name, now)
             size.have = self._count_have(name, size)
             size.wanted = _count_wanted(size, now)
         for name in self.pools.keys() - self._book.configuration.pools.keys():
@@ -235,11 +235,11 @@
 
         Those that a wave has closed take no work; others stand in for them.
         """
-        maintained = self._upkeep.leaving()
+        maintained = self._maintenance.leaving()
         coming = sum(1 for pool in self.moving.values() if pool == name)
         working = sum(
             1
-            for vm in self._upkeep.vms.values()
+            for vm in self._maintenance.vms.values()
             if vm.pool == name
             and vm.identity not in self.moving
             and vm.identity not in size.leaving
@@ -288,15 +288,15 @@
 
     def _list_spares(self, spare: str) -> list[str]:
         """Return VMs that may come from the spare pool, best first."""
-        leaving = self._upkeep.leaving()
-        later = self._upkeep.later()
+        leaving = self._maintenance.leaving()
+        later = self._maintenance.later()
         found = [
             vm.identity
-            for vm in self._upkeep.vms.values()
+            for vm in self._maintenance.vms.values()
             if vm.pool == spare
             and vm.identity not in self.moving
             and vm.identity not in leaving
-            and vm.identity not in self._upkeep.held
+            and vm.identity not in self._maintenance.held
             and vm.hall not in self._silence.silent_halls
             and vm.hall not in self._book.evacuated
         ]
@@ -320,11 +320,11 @@
         self, name: str, size: PoolSize, now: float
     ) -> list[str]:
         """Return the VMs that may leave a pool, the cheapest first."""
-        away = self._upkeep.leaving() | self.moving.keys() | size.leaving
-        away |= self._upkeep.held
-        later = self._upkeep.later()
+        away = self._maintenance.leaving() | self.moving.keys() | size.leaving
+        away |= self._maintenance.held
+        later = self._maintenance.later()
         ranked: list[tuple[tuple[int, int, int], str]] = []
-        for vm in self._upkeep.vms.values():
+        for vm in self._maintenance.vms.values():
             worker = self._book.find_present(vm.worker)
             if vm.pool != name or not vm.up or vm.identity in away:
                 continue
@@ -350,9 +350,9 @@
         """
         orders = []
         for vm in sorted(size.leaving):
-            if vm not in self._upkeep.vms:
+            if vm not in self._maintenance.vms:
                 size.leaving.discard(vm)
-            elif self._upkeep.vacate(vm, SURPLUS, PATIENCE_S, now):
+            elif self._maintenance.vacate(vm, SURPLUS, PATIENCE_S, now):
                 size.leaving.discard(vm)
                 pool = self._find_most_lacking() or spare
                 orders.append(self._begin(vm, pool))
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -90,9 +90,9 @@
                 entry_grace=timing.ENTRY_GRACE_S,
             ),
         )
-        self.upkeep = maintenances.Upkeep(self.book)
-        self.silence = policy.silence(self.book, self.upkeep)
-        self.sizing = sizings.Sizing(self.book, self.upkeep, self.silence)
+        self.maintenance = maintenances.MaintenancePlanner(self.book)
+        self.silence = policy.silence(self.book, self.maintenance)
+        self.sizing = sizings.Sizing(self.book, self.maintenance, self.silence)
         self.vms = {
             f"m{n}": vms.Vm(
                 f"m{n}",
@@ -249,9 +249,9 @@
 
     def _care(self) -> None:
         if not self._is_away():
-            self.upkeep.take_list(self._list(), self.now)
+            self.maintenance.take_list(self._list(), self.now)
             self.silence.check(self.now)
-            for maintain in self.upkeep.decide(
+            for maintain in self.maintenance.decide(
                 self.now,
                 short=self.sizing.is_short,
                 reserved=self.sizing.count_reserved(self.now),
@@ -267,9 +267,9 @@
         self.at(self.now + timing.CARE_INTERVAL_S, self._care)
 
     def _apply_closing(self) -> None:
-        waves = self.upkeep.leaving()
+        waves = self.maintenance.leaving()
         surplus = self.sizing.leaving()
-        later = self.upkeep.later()
+        later = self.maintenance.later()
         departing = self.sizing.departing()
         for worker in self.book.workers.values():
             vm = worker.entry.vm if worker.entry is not None else ""
@@ -333,11 +333,11 @@
     def _maintain(self, order: maintenances.MaintainVm) -> None:
         vm = self.vms[order.vm]
         if not vm.up:
-            self.upkeep.note_refused(order, self.now, for_good=False)
+            self.maintenance.note_refused(order, self.now, for_good=False)
             return
         self.kill(vm)
         vm.condition = fleet.Condition.MAINTAINED
-        self.upkeep.note_ordered(order, self.now)
+        self.maintenance.note_ordered(order, self.now)
         when = self.now + MAINTENANCE_S + APPEAR_S
         self.at(when, functools.partial(_up, self, vm))
 
--- a/tools/emulator/effects.py
+++ b/tools/emulator/effects.py
@@ -55,7 +55,7 @@
 @begin.register(troubles.Wave)
 def _(trouble: troubles.Wave, day: days.Day) -> None:
     chosen = day.draw_vms(round(trouble.share * len(day.vms)))
-    day.upkeep.add_wave(
+    day.maintenance.add_wave(
         fleet.Wave(
             number=1,
             vms=tuple(vm.name for vm in chosen),
