--- a/features/job_models.py
+++ b/features/job_models.py
@@ -32,7 +32,7 @@
     pools={POOL: queues.Pool(name=POOL, spare=False)},
     body_limit=1000,
 )
-CAPACITY = fleet.Room(cpu=4, memory=4, gpu=0)
+CAPACITY = fleet.Resources(cpu=4, memory=4, gpu=0)
 # A worker's clock may be this much slower than ours.
 SLOWEST = 0.98
 # What is handed in by a job whose tasks crash their workers.
--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -29,7 +29,7 @@
 
 def make_configuration(bound: int) -> queues.Configuration:
     """Return the configuration with a workspace that has a bound, or none."""
-    room = fleet.Room(cpu=bound, memory=0, gpu=0)
+    room = fleet.Resources(cpu=bound, memory=0, gpu=0)
     workspace = account.Workspace(name=WORKSPACE, rate=1.0, bound=room)
     return dataclasses.replace(
         models.CONFIGURATION, workspaces=directory.Directory([workspace])
--- a/features/steps/bound_steps.py
+++ b/features/steps/bound_steps.py
@@ -28,7 +28,7 @@
 
 
 def make_room(units):
-    return fleet.Room(cpu=units, memory=units, gpu=0)
+    return fleet.Resources(cpu=units, memory=units, gpu=0)
 
 
 def set_bounds(bench, bounds):
--- a/features/steps/isolation_steps.py
+++ b/features/steps/isolation_steps.py
@@ -275,7 +275,7 @@
     book = context.bench.book
     book.set_configuration(owners.make_configuration(1))
     context.state.workspace = owners.WORKSPACE
-    book.usage.add(owners.WORKSPACE, fleet.Room(cpu=1, memory=0, gpu=0))
+    book.usage.add(owners.WORKSPACE, fleet.Resources(cpu=1, memory=0, gpu=0))
 
 
 @behave.when(
--- a/features/steps/job_steps.py
+++ b/features/steps/job_steps.py
@@ -293,7 +293,7 @@
 def make_lasting(context, count, most):
     names = [f"w{number}" for number in range(count)]
     context.bench = benches.Bench(
-        names, capacity=fleet.Room(cpu=1, memory=0, gpu=0)
+        names, capacity=fleet.Resources(cpu=1, memory=0, gpu=0)
     )
     context.state = context.bench.add(
         definition.Step(tasks=count, cpu=1, lasting=True, most_away=most)
@@ -395,7 +395,7 @@
 def make_room(context, count):
     context.bench = benches.Bench(
         [f"w{number}" for number in range(count)],
-        capacity=fleet.Room(cpu=1, memory=0, gpu=0),
+        capacity=fleet.Resources(cpu=1, memory=0, gpu=0),
     )
 
 
--- a/features/steps/standing_steps.py
+++ b/features/steps/standing_steps.py
@@ -59,7 +59,7 @@
 
 
 def bound_workspace(context):
-    bound = fleet.Room(cpu=1, memory=0, gpu=0)
+    bound = fleet.Resources(cpu=1, memory=0, gpu=0)
     north = account.Workspace(name="north", rate=1.0, bound=bound)
     context.state.workspace = north.name
     context.bench.book.usage.add(north.name, bound)
--- a/features/vm_bench.py
+++ b/features/vm_bench.py
@@ -14,7 +14,7 @@
 
 OTHER = "other"
 SPARE = "spare"
-WIDE = fleet.Room(cpu=4, memory=4, gpu=0)
+WIDE = fleet.Resources(cpu=4, memory=4, gpu=0)
 
 
 def make_pools(book, *names):
--- a/src/rackvalve/platform/documents.py
+++ b/src/rackvalve/platform/documents.py
@@ -176,7 +176,7 @@
         rack=rack,
         hall=wire.zone,
         labels=frozenset(wire.labels),
-        capacity=fleet.Room(
+        capacity=fleet.Resources(
             cpu=wire.capacity.cpu,
             memory=wire.capacity.mem_mb,
             gpu=wire.capacity.gpu,
@@ -275,9 +275,9 @@
     )
 
 
-def _read_bound(bound: _WireBound) -> fleet.Room:
+def _read_bound(bound: _WireBound) -> fleet.Resources:
     """Decode a bound; a negative one, which none can keep, is none."""
-    return fleet.Room(
+    return fleet.Resources(
         cpu=max(0, bound.cpu),
         memory=max(0, bound.mem_mb),
         gpu=max(0, bound.gpu),
--- a/src/rackvalve/scheduling/demand.py
+++ b/src/rackvalve/scheduling/demand.py
@@ -39,8 +39,8 @@
     :param book: The book.
     :param now: Present time, in seconds.
     """
-    needs: dict[str, fleet.Room] = {}
-    units: dict[str, fleet.Room] = {}
+    needs: dict[str, fleet.Resources] = {}
+    units: dict[str, fleet.Resources] = {}
     for worker in book.workers.values():
         if worker.entry is None:
             continue
@@ -84,9 +84,11 @@
 
     def __init__(self, book: books.Book) -> None:
         self._book = book
-        self._left: dict[str, fleet.Room] = {}
+        self._left: dict[str, fleet.Resources] = {}
 
-    def take(self, state: progress.JobState, room: fleet.Room) -> fleet.Room:
+    def take(
+        self, state: progress.JobState, room: fleet.Resources
+    ) -> fleet.Resources:
         """Return the part of a job's room that may run, and count it."""
         workspace = self._book.find_workspace(state)
         if workspace is None or workspace.bound == fleet.EMPTY:
@@ -99,7 +101,7 @@
         return allowed
 
 
-def _sum_waiting(state: progress.JobState) -> fleet.Room:
+def _sum_waiting(state: progress.JobState) -> fleet.Resources:
     """Return the room that the waiting tasks of a job need."""
     total = fleet.EMPTY
     for name in state.waiting:
@@ -107,17 +109,17 @@
     return total
 
 
-def _sum_first_step(state: progress.JobState) -> fleet.Room:
+def _sum_first_step(state: progress.JobState) -> fleet.Resources:
     """Return the room that all tasks of a job's first step need."""
     step = state.job.steps[0]
     need = fleet.need_of(step)
-    return fleet.Room(
+    return fleet.Resources(
         cpu=need.cpu * step.tasks,
         memory=need.memory * step.tasks,
         gpu=need.gpu * step.tasks,
     )
 
 
-def _count_vms(need: fleet.Room, unit: fleet.Room | None) -> float:
+def _count_vms(need: fleet.Resources, unit: fleet.Resources | None) -> float:
     """Return how many VMs a need fills; 0 for a pool without any."""
     return 0.0 if unit is None else need.count_in(unit)
--- a/src/rackvalve/scheduling/fleet.py
+++ b/src/rackvalve/scheduling/fleet.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class Room:
+class Resources:
     """What a worker has or a task needs.
 
     :param cpu: Thousandths of a core.
@@ -22,7 +22,7 @@
     memory: int
     gpu: int
 
-    def fits(self, need: Room) -> bool:
+    def fits(self, need: Resources) -> bool:
         """Return whether a need fits into this room.
 
         :param need: What is needed.
@@ -33,40 +33,40 @@
             and need.gpu <= self.gpu
         )
 
-    def plus(self, other: Room) -> Room:
+    def plus(self, other: Resources) -> Resources:
         """Return the sum of two rooms.
 
         :param other: The other one.
         """
-        return Room(
+        return Resources(
             cpu=self.cpu + other.cpu,
             memory=self.memory + other.memory,
             gpu=self.gpu + other.gpu,
         )
 
-    def minus(self, other: Room) -> Room:
+    def minus(self, other: Resources) -> Resources:
         """Return what is left without another room.
 
         :param other: The other one.
         """
-        return Room(
+        return Resources(
             cpu=self.cpu - other.cpu,
             memory=self.memory - other.memory,
             gpu=self.gpu - other.gpu,
         )
 
-    def within(self, other: Room) -> Room:
+    def within(self, other: Resources) -> Resources:
         """Return the part of this room that lies within another one.
 
         :param other: The other one.
         """
-        return Room(
+        return Resources(
             cpu=min(self.cpu, other.cpu),
             memory=min(self.memory, other.memory),
             gpu=min(self.gpu, other.gpu),
         )
 
-    def count_in(self, unit: Room) -> float:
+    def count_in(self, unit: Resources) -> float:
         """Return how many VMs this room fills, by what it takes most of.
 
         :param unit: What a VM has.
@@ -78,19 +78,19 @@
         )
 
 
-EMPTY = Room(cpu=0, memory=0, gpu=0)
+EMPTY = Resources(cpu=0, memory=0, gpu=0)
 
 
-def need_of(step: definition.Step) -> Room:
+def need_of(step: definition.Step) -> Resources:
     """Return the room that one task of a step takes.
 
     :param step: The step.
     """
     cpu = 0 if step.uses_leftover else step.cpu
-    return Room(cpu=cpu, memory=step.memory, gpu=step.gpu)
+    return Resources(cpu=cpu, memory=step.memory, gpu=step.gpu)
 
 
-def ask_of(step: definition.Step) -> Room:
+def ask_of(step: definition.Step) -> Resources:
     """Return what one task of a step counts against its workspace's bound.
 
     Unlike a worker's room, the bound counts the processor of tasks that run
@@ -98,7 +98,7 @@
 
     :param step: The step.
     """
-    return Room(cpu=step.cpu, memory=step.memory, gpu=step.gpu)
+    return Resources(cpu=step.cpu, memory=step.memory, gpu=step.gpu)
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
@@ -126,7 +126,7 @@
     rack: str
     hall: str
     labels: frozenset[str]
-    capacity: Room
+    capacity: Resources
     draining: bool
     remaining: float | None
 
--- a/src/rackvalve/scheduling/hindrance.py
+++ b/src/rackvalve/scheduling/hindrance.py
@@ -78,7 +78,7 @@
     cause: Cause
     since: float
     pool: str = ""
-    need: fleet.Room | None = None
+    need: fleet.Resources | None = None
     workers: tuple[str, ...] = ()
     proof_in: float | None = None
     awaited: Awaited | None = None
@@ -162,7 +162,7 @@
 
     def has_room(
         self,
-        need: fleet.Room,
+        need: fleet.Resources,
         labels: tuple[str, ...],
         tickets: Container[str] | None = None,
     ) -> bool:
@@ -328,7 +328,7 @@
         state: progress.JobState,
         queue: queues.Queue,
         name: definition.TaskName,
-        need: fleet.Room,
+        need: fleet.Resources,
     ) -> Cause:
         step = state.step_of(name)
         task = state.tasks[name]
@@ -382,9 +382,9 @@
         )
 
 
-def _find_largest(rooms: Collection[fleet.Room]) -> list[fleet.Room]:
+def _find_largest(rooms: Collection[fleet.Resources]) -> list[fleet.Resources]:
     """Return the rooms that lie within no other one."""
-    largest: list[fleet.Room] = []
+    largest: list[fleet.Resources] = []
     # A room that holds another one comes before it.
     for room in sorted(rooms, key=_sum, reverse=True):
         if not any(other.fits(room) for other in largest):
@@ -392,7 +392,7 @@
     return largest
 
 
-def _sum(room: fleet.Room) -> int:
+def _sum(room: fleet.Resources) -> int:
     return room.cpu + room.memory + room.gpu
 
 
--- a/src/rackvalve/scheduling/isolation.py
+++ b/src/rackvalve/scheduling/isolation.py
@@ -351,7 +351,7 @@
 def _count_fitting(
     worker: workers.WorkerState,
     state: progress.JobState,
-    need: fleet.Room,
+    need: fleet.Resources,
     most: int,
 ) -> int:
     """Return how many tasks fit once what could crash a worker has ended."""
--- a/src/rackvalve/scheduling/placement.py
+++ b/src/rackvalve/scheduling/placement.py
@@ -44,7 +44,7 @@
         self,
         step: definition.Step,
         task: progress.Task,
-        need: fleet.Room,
+        need: fleet.Resources,
         used: collections.Counter[str],
         *,
         now: float,
--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -307,7 +307,7 @@
         planned = self._isolator.plan(view, states, now)
         # Needs that found no room in this round; greater ones find none
         # either.
-        full: list[fleet.Room] = []
+        full: list[fleet.Resources] = []
         for state in states:
             by_step = _group_ready(state, now)
             for (repetition, number), tasks in by_step.items():
@@ -343,7 +343,7 @@
         repetition: int,
         number: int,
         tasks: list[progress.Task],
-        need: fleet.Room,
+        need: fleet.Resources,
         now: float,
     ) -> int:
         used = starters.count_used(state, repetition, number)
@@ -425,7 +425,7 @@
     return len(task.runs) == 1
 
 
-def _covers(need: fleet.Room, other: fleet.Room) -> bool:
+def _covers(need: fleet.Resources, other: fleet.Resources) -> bool:
     """Return whether a need is in all ways at least another one."""
     return need.fits(other)
 
--- a/src/rackvalve/workspaces/account.py
+++ b/src/rackvalve/workspaces/account.py
@@ -22,13 +22,15 @@
 
     name: str
     rate: float
-    bound: fleet.Room
+    bound: fleet.Resources
     keys: frozenset[credentials.Digest] = dataclasses.field(
         default=frozenset(), repr=False
     )
 
 
-def allows(bound: fleet.Room, used: fleet.Room, need: fleet.Room) -> bool:
+def allows(
+    bound: fleet.Resources, used: fleet.Resources, need: fleet.Resources
+) -> bool:
     """Return whether a bound leaves room for one more task.
 
     A workspace without anything running may always start one task: it could
--- a/src/rackvalve/workspaces/usage.py
+++ b/src/rackvalve/workspaces/usage.py
@@ -20,16 +20,16 @@
     __slots__ = ("_used",)
 
     def __init__(self) -> None:
-        self._used: dict[str, fleet.Room] = {}
+        self._used: dict[str, fleet.Resources] = {}
 
-    def used(self, workspace: str) -> fleet.Room:
+    def used(self, workspace: str) -> fleet.Resources:
         """Return what a workspace may have running.
 
         :param workspace: Its name.
         """
         return self._used.get(workspace, fleet.EMPTY)
 
-    def add(self, workspace: str, need: fleet.Room) -> None:
+    def add(self, workspace: str, need: fleet.Resources) -> None:
         """Count a run.
 
         :param workspace: Name of the workspace; empty counts nothing.
@@ -38,7 +38,7 @@
         if workspace:
             self._used[workspace] = self.used(workspace).plus(need)
 
-    def drop(self, workspace: str, need: fleet.Room) -> None:
+    def drop(self, workspace: str, need: fleet.Resources) -> None:
         """Count a run no longer: it is over.
 
         :param workspace: Name of the workspace; empty counts nothing.
@@ -52,21 +52,24 @@
         else:
             self._used[workspace] = left
 
-    def left(self, workspace: account.Workspace) -> fleet.Room:
+    def left(self, workspace: account.Workspace) -> fleet.Resources:
         """Return what a workspace's bound leaves, at least nothing.
 
         :param workspace: The workspace.
         """
         used = self.used(workspace.name)
         bound = workspace.bound
-        return fleet.Room(
+        return fleet.Resources(
             cpu=_left(bound.cpu, used.cpu),
             memory=_left(bound.memory, used.memory),
             gpu=_left(bound.gpu, used.gpu),
         )
 
     def count_allowed(
-        self, workspace: account.Workspace | None, ask: fleet.Room, most: int
+        self,
+        workspace: account.Workspace | None,
+        ask: fleet.Resources,
+        most: int,
     ) -> int:
         """Return how many more tasks a workspace's bound leaves room for.
 
--- a/tools/emulator/plans.py
+++ b/tools/emulator/plans.py
@@ -25,7 +25,7 @@
     vms: int = 30
     per_rack: int = 4
     halls: int = 3
-    capacity: fleet.Room = fleet.Room(cpu=16000, memory=32768, gpu=0)
+    capacity: fleet.Resources = fleet.Resources(cpu=16000, memory=32768, gpu=0)
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
--- a/tools/emulator/vms.py
+++ b/tools/emulator/vms.py
@@ -136,7 +136,7 @@
             hall=f"h{self.hall}",
         )
 
-    def entry(self, capacity: fleet.Room) -> fleet.Entry:
+    def entry(self, capacity: fleet.Resources) -> fleet.Entry:
         """Return what its worker says of itself.
 
         :param capacity: What it has.
--- a/tools/experiments/jobs.py
+++ b/tools/experiments/jobs.py
@@ -64,7 +64,7 @@
         rack="",
         hall="h",
         labels=frozenset(),
-        capacity=fleet.Room(cpu=1000000, memory=1000, gpu=0),
+        capacity=fleet.Resources(cpu=1000000, memory=1000, gpu=0),
         draining=False,
         remaining=None,
     )
--- a/tools/experiments/shares.py
+++ b/tools/experiments/shares.py
@@ -46,7 +46,7 @@
             account.Workspace(
                 name=f"w{number}",
                 rate=5.0,
-                bound=fleet.Room(cpu=10**9, memory=10**9, gpu=0),
+                bound=fleet.Resources(cpu=10**9, memory=10**9, gpu=0),
                 keys=frozenset(
                     credentials.digest(f"k{number}-{n}") for n in range(KEYS)
                 ),
@@ -119,7 +119,7 @@
         rack="",
         hall="h",
         labels=frozenset(),
-        capacity=fleet.Room(cpu=10**6, memory=10**6, gpu=0),
+        capacity=fleet.Resources(cpu=10**6, memory=10**6, gpu=0),
         draining=False,
         remaining=None,
     )
