--- a/features/steps/share_steps.py
+++ b/features/steps/share_steps.py
@@ -18,7 +18,7 @@
 
 def make_workspace(name, rate, keys=()):
     return account.Workspace(
-        name=name, rate=rate, bound=fleet.EMPTY, keys=frozenset(keys)
+        name=name, rate=rate, bound=fleet.NO_RESOURCES, keys=frozenset(keys)
     )
 
 
--- a/src/rackvalve/scheduling/demand.py
+++ b/src/rackvalve/scheduling/demand.py
@@ -47,7 +47,7 @@
         pool = worker.entry.pool
         units[pool] = worker.entry.capacity
         used = worker.entry.capacity.minus(worker.free)
-        needs[pool] = needs.get(pool, fleet.EMPTY).plus(used)
+        needs[pool] = needs.get(pool, fleet.NO_RESOURCES).plus(used)
     largest: dict[str, float] = {}
     arrivals: dict[str, int] = {}
     bounds = _Bounds(book)
@@ -58,7 +58,7 @@
         pool = queue.pool
         if state.waiting:
             waiting = bounds.take(state, _sum_waiting(state))
-            needs[pool] = needs.get(pool, fleet.EMPTY).plus(waiting)
+            needs[pool] = needs.get(pool, fleet.NO_RESOURCES).plus(waiting)
         if now - state.arrived <= NEW_S:
             own = _count_vms(_sum_first_step(state), units.get(pool))
             largest[pool] = max(largest.get(pool, 0.0), own)
@@ -91,7 +91,7 @@
     ) -> fleet.Resources:
         """Return the part of a job's room that may run, and count it."""
         workspace = self._book.find_workspace(state)
-        if workspace is None or workspace.bound == fleet.EMPTY:
+        if workspace is None or workspace.bound == fleet.NO_RESOURCES:
             return room
         left = self._left.get(workspace.name)
         if left is None:
@@ -103,7 +103,7 @@
 
 def _sum_waiting(state: progress.JobState) -> fleet.Resources:
     """Return the room that the waiting tasks of a job need."""
-    total = fleet.EMPTY
+    total = fleet.NO_RESOURCES
     for name in state.waiting:
         total = total.plus(fleet.need_of(state.job.steps[name.step]))
     return total
--- a/src/rackvalve/scheduling/fleet.py
+++ b/src/rackvalve/scheduling/fleet.py
@@ -78,7 +78,7 @@
         )
 
 
-EMPTY = Resources(cpu=0, memory=0, gpu=0)
+NO_RESOURCES = Resources(cpu=0, memory=0, gpu=0)
 
 
 def need_of(step: definition.Step) -> Resources:
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -93,7 +93,7 @@
         self.entry = entry
         # Where it can be asked, by its entry or else by a job's record.
         self.location = entry.location if entry is not None else None
-        self.free = entry.capacity if entry is not None else fleet.EMPTY
+        self.free = entry.capacity if entry is not None else fleet.NO_RESOURCES
         self.runs: dict[RunKey, Placed] = {}
         # Those of them under whose tasks workers have crashed.
         self.suspects: dict[RunKey, Placed] = {}
@@ -137,7 +137,7 @@
 
         :param entry: Its newest entry.
         """
-        known = self.entry.capacity if self.entry else fleet.EMPTY
+        known = self.entry.capacity if self.entry else fleet.NO_RESOURCES
         self.free = self.free.plus(entry.capacity).minus(known)
         self.entry = entry
         self.location = entry.location
--- a/src/rackvalve/workspaces/account.py
+++ b/src/rackvalve/workspaces/account.py
@@ -40,7 +40,7 @@
     :param used: What may be running now.
     :param need: What the task takes.
     """
-    if used == fleet.EMPTY:
+    if used == fleet.NO_RESOURCES:
         return True
     return (
         _fits(bound.cpu, used.cpu, need.cpu)
--- a/src/rackvalve/workspaces/usage.py
+++ b/src/rackvalve/workspaces/usage.py
@@ -27,7 +27,7 @@
 
         :param workspace: Its name.
         """
-        return self._used.get(workspace, fleet.EMPTY)
+        return self._used.get(workspace, fleet.NO_RESOURCES)
 
     def add(self, workspace: str, need: fleet.Resources) -> None:
         """Count a run.
@@ -47,7 +47,7 @@
         if not workspace:
             return
         left = self.used(workspace).minus(need)
-        if left == fleet.EMPTY:
+        if left == fleet.NO_RESOURCES:
             self._used.pop(workspace, None)
         else:
             self._used[workspace] = left
@@ -77,7 +77,7 @@
         :param ask: What each of the tasks takes.
         :param most: The most that are wanted.
         """
-        if workspace is None or workspace.bound == fleet.EMPTY:
+        if workspace is None or workspace.bound == fleet.NO_RESOURCES:
             return most
         used = self.used(workspace.name)
         count = 0
