--- a/src/rackvalve/scheduling/demand.py
+++ b/src/rackvalve/scheduling/demand.py
@@ -105,14 +105,16 @@
     """Return the room that the waiting tasks of a job need."""
     total = fleet.NO_RESOURCES
     for name in state.waiting:
-        total = total.plus(fleet.need_of(state.job.steps[name.step]))
+        total = total.plus(
+            fleet.get_resource_request(state.job.steps[name.step])
+        )
     return total
 
 
 def _sum_first_step(state: progress.JobState) -> fleet.Resources:
     """Return the room that all tasks of a job's first step need."""
     step = state.job.steps[0]
-    need = fleet.need_of(step)
+    need = fleet.get_resource_request(step)
     return fleet.Resources(
         cpu=need.cpu * step.tasks,
         memory=need.memory * step.tasks,
--- a/src/rackvalve/scheduling/fleet.py
+++ b/src/rackvalve/scheduling/fleet.py
@@ -81,7 +81,7 @@
 NO_RESOURCES = Resources(cpu=0, memory=0, gpu=0)
 
 
-def need_of(step: definition.Step) -> Resources:
+def get_resource_request(step: definition.Step) -> Resources:
     """Return the room that one task of a step takes.
 
     :param step: The step.
--- a/src/rackvalve/scheduling/hindrance.py
+++ b/src/rackvalve/scheduling/hindrance.py
@@ -315,7 +315,7 @@
         if not ready:
             return None
         first = min(ready.values(), key=lambda name: _size(state, name))
-        need = fleet.need_of(state.step_of(first))
+        need = fleet.get_resource_request(state.step_of(first))
         return Hindrance(
             cause=self._judge_task(state, queue, first, need),
             since=self._now,
--- a/src/rackvalve/scheduling/isolation.py
+++ b/src/rackvalve/scheduling/isolation.py
@@ -254,7 +254,7 @@
         return view.choose(
             group.step,
             task,
-            fleet.need_of(group.step),
+            fleet.get_resource_request(group.step),
             starters.count_used(state, group.repetition, group.number),
             now=now,
             state=state,
@@ -310,7 +310,7 @@
         tickets = self._starter.find_tickets(
             group.state, group.repetition, group.number
         )
-        need = fleet.need_of(group.step)
+        need = fleet.get_resource_request(group.step)
         able = [
             worker
             for worker in view.members
--- a/src/rackvalve/scheduling/placement.py
+++ b/src/rackvalve/scheduling/placement.py
@@ -131,7 +131,7 @@
     :return: A worker for each of the tasks; fewer if there is no room.
     """
     step = state.step_of(tasks[0].name)
-    need = fleet.need_of(step)
+    need = fleet.get_resource_request(step)
     chosen: list[workers.WorkerState] = []
     for task in tasks:
         worker = view.choose(
@@ -170,7 +170,7 @@
         return False
     if tickets is not None and worker.identity not in tickets:
         return False
-    return entry.capacity.fits(fleet.need_of(step))
+    return entry.capacity.fits(fleet.get_resource_request(step))
 
 
 def _allows(
--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -312,7 +312,7 @@
             by_step = _group_ready(state, now)
             for (repetition, number), tasks in by_step.items():
                 step = state.job.steps[number]
-                need = fleet.need_of(step)
+                need = fleet.get_resource_request(step)
                 if any(_covers(need, other) for other in full):
                     continue
                 allowed = self._starter.count_allowed(state, step, len(tasks))
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -36,7 +36,7 @@
         self.task = task
         self.run = run
         self.step = state.step_of(task.name)
-        self.need = fleet.need_of(self.step)
+        self.need = fleet.get_resource_request(self.step)
 
     @property
     def full_name(self) -> str:
--- a/tools/experiments/jobs.py
+++ b/tools/experiments/jobs.py
@@ -40,7 +40,7 @@
 def measure_placement():
     """Time one choice of a worker, and a scan of all of them."""
     step = definition.Step(cpu=1)
-    need = fleet.need_of(step)
+    need = fleet.get_resource_request(step)
     for size in POOL_SIZES:
         members = [_make_worker(number) for number in range(size)]
         taken = _time_choice(members, step, need)
