--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -277,7 +277,7 @@
         if worker is not None:
             worker.drop(placed)
         if placed.task.runs.pop(placed.run.number, None) is not None:
-            ask = fleet.ask_of(placed.step)
+            ask = fleet.get_charge(placed.step)
             self.usage.drop(placed.state.workspace, ask)
         placed.state.requeue(placed.task, now + delay)
         self.mark(placed.state)
@@ -450,7 +450,7 @@
         self, state: progress.JobState, task: progress.Task
     ) -> None:
         """Count a run that may come against its workspace's bound."""
-        ask = fleet.ask_of(state.step_of(task.name))
+        ask = fleet.get_charge(state.step_of(task.name))
         self.usage.add(state.workspace, ask)
 
     def _drop_planned(
--- a/src/rackvalve/scheduling/fleet.py
+++ b/src/rackvalve/scheduling/fleet.py
@@ -90,7 +90,7 @@
     return Resources(cpu=cpu, memory=step.memory, gpu=step.gpu)
 
 
-def ask_of(step: definition.Step) -> Resources:
+def get_charge(step: definition.Step) -> Resources:
     """Return what one task of a step counts against its workspace's bound.
 
     Unlike a worker's room, the bound counts the processor of tasks that run
--- a/src/rackvalve/scheduling/hindrance.py
+++ b/src/rackvalve/scheduling/hindrance.py
@@ -340,7 +340,7 @@
         asked = step.tasks if step.gang else 1
         workspace = self._book.find_workspace(state)
         allowed = self._book.usage.count_allowed(
-            workspace, fleet.ask_of(step), asked
+            workspace, fleet.get_charge(step), asked
         )
         if allowed < asked:
             return Cause.BOUND
--- a/src/rackvalve/scheduling/starter.py
+++ b/src/rackvalve/scheduling/starter.py
@@ -34,7 +34,7 @@
         :param asked: How many are to start.
         """
         workspace = self._book.find_workspace(state)
-        ask = fleet.ask_of(step)
+        ask = fleet.get_charge(step)
         return self._book.usage.count_allowed(workspace, ask, asked)
 
     def find_tickets(
