--- a/src/rackvalve/scheduling/demand.py
+++ b/src/rackvalve/scheduling/demand.py
@@ -124,4 +124,4 @@
 
 def _count_vms(need: fleet.Resources, unit: fleet.Resources | None) -> float:
     """Return how many VMs a need fills; 0 for a pool without any."""
-    return 0.0 if unit is None else need.count_in(unit)
+    return 0.0 if unit is None else need.count_vms(unit)
--- a/src/rackvalve/scheduling/fleet.py
+++ b/src/rackvalve/scheduling/fleet.py
@@ -66,7 +66,7 @@
             gpu=min(self.gpu, other.gpu),
         )
 
-    def count_in(self, unit: Resources) -> float:
+    def count_vms(self, unit: Resources) -> float:
         """Return how many VMs this room fills, by what it takes most of.
 
         :param unit: What a VM has.
