--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -332,7 +332,9 @@
 @behave.given("a step whose only worker is admitted for a minute")
 def admit(context):
     bench = context.bench = benches.Bench([EARLIER])
-    advice = queues.Advice(decide_time=0.1, worker_time=0.01, valid=60.0)
+    advice = queues.AdmissionLimits(
+        decide_time=0.1, worker_time=0.01, valid=60.0
+    )
     queue = dataclasses.replace(models.QUEUE, advice=advice)
     bench.book.set_configuration(
         dataclasses.replace(models.CONFIGURATION, queues=(queue,))
--- a/features/steps/standing_steps.py
+++ b/features/steps/standing_steps.py
@@ -67,7 +67,9 @@
 
 
 def ask_adviser(context):
-    advice = queues.Advice(decide_time=0.1, worker_time=0.1, valid=1.0)
+    advice = queues.AdmissionLimits(
+        decide_time=0.1, worker_time=0.1, valid=1.0
+    )
     configure(context, dataclasses.replace(models.QUEUE, advice=advice))
 
 
--- a/features/steps/upkeep_steps.py
+++ b/features/steps/upkeep_steps.py
@@ -375,7 +375,9 @@
 @behave.given("3 workers of a queue with an admission service")
 def make_admitted(context):
     context.bench = benches.Bench(["w1", "w2", "w3"])
-    advice = queues.Advice(decide_time=0.1, worker_time=0.01, valid=3.0)
+    advice = queues.AdmissionLimits(
+        decide_time=0.1, worker_time=0.01, valid=3.0
+    )
     context.bench.book.set_configuration(
         dataclasses.replace(
             models.CONFIGURATION,
--- a/src/rackvalve/manager/admission.py
+++ b/src/rackvalve/manager/admission.py
@@ -112,7 +112,9 @@
         found.sort(key=lambda worker: -worker.free.cpu)
         return [worker.identity for worker in found[: timing.ADMISSION_MOST]]
 
-    def _ask(self, step: str, names: list[str], advice: queues.Advice) -> None:
+    def _ask(
+        self, step: str, names: list[str], advice: queues.AdmissionLimits
+    ) -> None:
         if self._adviser is None:
             logs.write_warning(
                 "admission.failed", step=step, reason="no service is set"
--- a/src/rackvalve/platform/documents.py
+++ b/src/rackvalve/platform/documents.py
@@ -287,7 +287,7 @@
 def _read_queue(route: _WireRoute, *, needs_key: bool) -> queues.Queue:
     advice = None
     if route.advice is not None:
-        advice = queues.Advice(
+        advice = queues.AdmissionLimits(
             decide_time=route.advice.decide_ms / 1000,
             worker_time=route.advice.each_ms / 1000,
             valid=route.advice.valid_ms / 1000,
--- a/src/rackvalve/scheduling/queues.py
+++ b/src/rackvalve/scheduling/queues.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class Advice:
+class AdmissionLimits:
     """Bounds of the service that admits workers to a queue's steps.
 
     :param decide_time: Time that one call takes, in seconds.
@@ -46,7 +46,7 @@
     attempts: int
     stretch: float
     allowance: float
-    advice: Advice | None
+    advice: AdmissionLimits | None
     needs_key: bool = False
 
 
