--- a/features/job_models.py
+++ b/features/job_models.py
@@ -24,7 +24,7 @@
     attempts=3,
     stretch=2.0,
     allowance=1.0,
-    advice=None,
+    admission=None,
 )
 CONFIGURATION = queues.Configuration(
     version=1,
--- a/features/steps/currency_steps.py
+++ b/features/steps/currency_steps.py
@@ -158,7 +158,7 @@
                 attempts=1,
                 stretch=1.0,
                 allowance=0.0,
-                advice=None,
+                admission=None,
             )
             for name in names
         ),
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -335,7 +335,7 @@
     advice = queues.AdmissionLimits(
         decide_time=0.1, worker_time=0.01, valid=60.0
     )
-    queue = dataclasses.replace(models.QUEUE, advice=advice)
+    queue = dataclasses.replace(models.QUEUE, admission=advice)
     bench.book.set_configuration(
         dataclasses.replace(models.CONFIGURATION, queues=(queue,))
     )
--- a/features/steps/standing_steps.py
+++ b/features/steps/standing_steps.py
@@ -70,7 +70,7 @@
     advice = queues.AdmissionLimits(
         decide_time=0.1, worker_time=0.1, valid=1.0
     )
-    configure(context, dataclasses.replace(models.QUEUE, advice=advice))
+    configure(context, dataclasses.replace(models.QUEUE, admission=advice))
 
 
 def silence_own(context):
--- a/features/steps/upkeep_steps.py
+++ b/features/steps/upkeep_steps.py
@@ -381,7 +381,7 @@
     context.bench.book.set_configuration(
         dataclasses.replace(
             models.CONFIGURATION,
-            queues=(dataclasses.replace(models.QUEUE, advice=advice),),
+            queues=(dataclasses.replace(models.QUEUE, admission=advice),),
         )
     )
     context.bench.add(definition.Step(cpu=1))
--- a/src/rackvalve/manager/admission.py
+++ b/src/rackvalve/manager/admission.py
@@ -62,7 +62,7 @@
         self._expire(now)
         for state in self._book.open_jobs.values():
             queue = self._book.queues.get(state.queue)
-            if queue is None or queue.advice is None or not state.waiting:
+            if queue is None or queue.admission is None or not state.waiting:
                 continue
             name = next(iter(state.waiting))
             step = state.step_name(name.repetition, name.step)
@@ -70,7 +70,7 @@
                 continue
             names = self._find_candidates(state, name, queue, step, now)
             if names:
-                self._ask(step, names, queue.advice)
+                self._ask(step, names, queue.admission)
                 return True
         return False
 
--- a/src/rackvalve/platform/documents.py
+++ b/src/rackvalve/platform/documents.py
@@ -301,7 +301,7 @@
         attempts=route.max_attempts,
         stretch=route.stretch,
         allowance=route.target_latency_ms / 1000,
-        advice=advice,
+        admission=advice,
         needs_key=needs_key,
     )
 
--- a/src/rackvalve/scheduling/hindrance.py
+++ b/src/rackvalve/scheduling/hindrance.py
@@ -346,7 +346,7 @@
             return Cause.BOUND
         if not pool.has_room(need, step.labels):
             return Cause.NO_ROOM
-        if queue.advice is not None:
+        if queue.admission is not None:
             whole = state.step_name(name.repetition, name.step)
             tickets = self._planner.tickets.get(whole, {})
             if not pool.has_room(need, step.labels, tickets):
--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -159,7 +159,7 @@
         views: dict[str, placement.PoolView] = {}
         for placed in list(worker.runs.values()):
             queue = self._book.queues.get(placed.state.queue)
-            if queue is None or queue.advice is not None:
+            if queue is None or queue.admission is not None:
                 continue
             if not _may_copy(placed):
                 continue
@@ -333,7 +333,7 @@
     ) -> bool:
         """Return whether only room decides where a step's tasks may go."""
         special = step.most_per_worker or step.labels or step.gang
-        return not special and self._book.queues[state.queue].advice is None
+        return not special and self._book.queues[state.queue].admission is None
 
     def _plan_step(
         self,
--- a/src/rackvalve/scheduling/queues.py
+++ b/src/rackvalve/scheduling/queues.py
@@ -34,7 +34,7 @@
     :param stretch: Longest time to the end that callers accept, in times of
         the longest chain of work.
     :param allowance: Time that is accepted on top, in seconds.
-    :param advice: Bounds of the admission service, ``None`` without one.
+    :param admission: Bounds of the admission service, ``None`` without one.
     :param needs_key: Whether callers have to show a workspace's key.
     """
 
@@ -46,7 +46,7 @@
     attempts: int
     stretch: float
     allowance: float
-    advice: AdmissionLimits | None
+    admission: AdmissionLimits | None
     needs_key: bool = False
 
 
--- a/src/rackvalve/scheduling/starter.py
+++ b/src/rackvalve/scheduling/starter.py
@@ -46,7 +46,7 @@
         :param repetition: Number of the repetition.
         :param number: Number of the step.
         """
-        if self._book.queues[state.queue].advice is None:
+        if self._book.queues[state.queue].admission is None:
             return None
         return self.tickets.get(state.step_name(repetition, number), {})
 
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -488,7 +488,7 @@
                 attempts=3,
                 stretch=1.6,
                 allowance=0.6,
-                advice=None,
+                admission=None,
             )
             for name in pools
         ),
--- a/tools/experiments/shares.py
+++ b/tools/experiments/shares.py
@@ -32,7 +32,7 @@
     attempts=1,
     stretch=2.0,
     allowance=1.0,
-    advice=None,
+    admission=None,
 )
 
 
