--- a/src/rackvalve/scheduling/isolation.py
+++ b/src/rackvalve/scheduling/isolation.py
@@ -316,7 +316,7 @@
             for worker in view.members
             if worker.identity not in view.reserved
             and not crashes.is_isolating(worker)
-            and placement.bears(worker, group.step, tickets)
+            and placement.could_fit(worker, group.step, tickets)
             and _count_fitting(worker, group.state, need, 1)
         ]
         # Stays with those that are being emptied for the job already.
--- a/src/rackvalve/scheduling/placement.py
+++ b/src/rackvalve/scheduling/placement.py
@@ -154,7 +154,7 @@
     return chosen
 
 
-def bears(
+def could_fit(
     worker: workers.WorkerState,
     step: definition.Step,
     tickets: dict[str, str] | None,
