--- a/src/rackvalve/scheduling/eviction.py
+++ b/src/rackvalve/scheduling/eviction.py
@@ -19,7 +19,7 @@
 REST_S = 3.0
 
 
-def is_at_work(book: books.Book, task: progress.Task, now: float) -> bool:
+def is_ready(book: books.Book, task: progress.Task, now: float) -> bool:
     """Return whether a lasting task is at work, as far as is known.
 
     A task on a worker that is silent is taken to be away, and so is one that
@@ -62,7 +62,7 @@
         if other.name.step == name.step
         and other.name.repetition == name.repetition
         and other is not placed.task
-        and not is_at_work(book, other, now)
+        and not is_ready(book, other, now)
     )
     # A step that names no bound is moved one task at a time all the same.
     return away < max(1, placed.step.most_away)
