--- a/features/steps/job_steps.py
+++ b/features/steps/job_steps.py
@@ -301,7 +301,7 @@
     context.orders = context.bench.start_all()
     for order in context.orders:
         placed = context.bench.placed(order)
-        placed.run.percent = eviction.AT_WORK_PERCENT
+        placed.run.percent = eviction.READY_PERCENT
 
 
 @behave.when("{count:d} of the others are {cause}")
--- a/src/rackvalve/scheduling/eviction.py
+++ b/src/rackvalve/scheduling/eviction.py
@@ -10,7 +10,7 @@
 from rackvalve.scheduling import book as books
 from rackvalve.scheduling import workers
 
-AT_WORK_PERCENT = 100
+READY_PERCENT = 100
 # A worker that has not answered for longer is taken to be away, in seconds;
 # holds are answered after half a second at the latest.
 SILENCE_S = 1.0
@@ -36,7 +36,7 @@
             and now - worker.answered <= SILENCE_S
             and now >= worker.settled
             and run.stage is progress.Stage.CONFIRMED
-            and run.percent >= AT_WORK_PERCENT
+            and run.percent >= READY_PERCENT
             and not run.stop_wanted
         ):
             return True
--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -246,7 +246,7 @@
         """Return whether a lasting task is better started elsewhere."""
         run = placed.run
         waited = now - run.percent_since
-        if run.percent >= eviction.AT_WORK_PERCENT:
+        if run.percent >= eviction.READY_PERCENT:
             return False
         if waited <= LASTING_START_S:
             return False
