--- a/src/rackvalve/scheduling/objectives.py
+++ b/src/rackvalve/scheduling/objectives.py
@@ -52,7 +52,7 @@
     return Grade.IN_TIME if state.guaranteed else Grade.BEYOND_RATE
 
 
-def is_passed_over(state: progress.JobState, now: float) -> bool:
+def is_starved(state: progress.JobState, now: float) -> bool:
     """Return whether nothing of a job has started for too long.
 
     What a workspace sent beyond its rate waits for the others all the same.
--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -406,7 +406,7 @@
             due = first * state.job.interval
             return (float(queue.priority), grade, state.arrived + due)
         grade = objectives.grade(self._book, state, queue, now)
-        if objectives.is_passed_over(state, now):
+        if objectives.is_starved(state, now):
             grade = objectives.Grade.IN_TIME
         objective = objectives.estimate_objective(self._book, state, queue)
         return (float(queue.priority), grade, state.arrived + objective)
