--- a/src/rackvalve/scheduling/objectives.py
+++ b/src/rackvalve/scheduling/objectives.py
@@ -15,7 +15,7 @@
 # (seconds), late or not: an accepted job must not stand for 3 s while later
 # ones of its queue start.  It costs 0.004 of a day's worth (20 pairs of plays
 # where turns are beyond the pools, standard error 0.002).
-PASSED_OVER_S = 2.0
+STARVATION_S = 2.0
 
 
 class Grade(enum.IntEnum):
@@ -60,7 +60,7 @@
     :param state: The job.
     :param now: Present time, in seconds.
     """
-    if not state.guaranteed or now - state.arrived <= PASSED_OVER_S:
+    if not state.guaranteed or now - state.arrived <= STARVATION_S:
         return False
     return state.next_run == 1
 
