--- a/src/rackvalve/scheduling/objectives.py
+++ b/src/rackvalve/scheduling/objectives.py
@@ -46,7 +46,7 @@
     age = now - state.arrived
     if age > WORTHLESS_AFTER * objective:
         return Grade.WORTHLESS
-    left = estimate_chain(book, state, open_only=True)
+    left = estimate_critical_path(book, state, open_only=True)
     if age + left > objective:
         return Grade.LATE
     return Grade.IN_TIME if state.guaranteed else Grade.BEYOND_RATE
@@ -74,10 +74,12 @@
     :param state: The job.
     :param queue: Its queue.
     """
-    return queue.allowance + queue.stretch * estimate_chain(book, state)
+    return queue.allowance + queue.stretch * estimate_critical_path(
+        book, state
+    )
 
 
-def estimate_chain(
+def estimate_critical_path(
     book: books.Book, state: progress.JobState, *, open_only: bool = False
 ) -> float:
     """Return the time that a job's longest chain of steps takes, in seconds.
