--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -138,7 +138,9 @@
                 self._check_run(worker, placed, now)
             if self._is_silent(worker, now):
                 self._copy_runs(worker, now)
-            self._book.speeds.judge(worker, self._book.durations, now)
+            self._book.speeds.detect_slowness(
+                worker, self._book.durations, now
+            )
             if now < worker.slow_until:
                 self._move_stragglers(worker, now)
         return released
--- a/src/rackvalve/scheduling/speeds.py
+++ b/src/rackvalve/scheduling/speeds.py
@@ -120,7 +120,7 @@
                     times.append(total)
         return statistics.median(times) if len(times) >= COMPARED else None
 
-    def judge(
+    def detect_slowness(
         self,
         worker: workers.WorkerState,
         durations: dict[str, float],
--- a/tools/baselines/decisions.py
+++ b/tools/baselines/decisions.py
@@ -34,7 +34,7 @@
 
     __slots__ = ()
 
-    def judge(self, worker, durations, now):
+    def detect_slowness(self, worker, durations, now):
         """See nothing.
 
         :param worker: The worker.
