--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -267,7 +267,7 @@
         started = placed.run.confirmed_at
         if started is None or placed.run.inherited:
             return
-        self._book.speeds.note_done(placed, now - started)
+        self._book.speeds.record_duration(placed, now - started)
         queue = placed.state.queue
         mean = self._book.durations.get(queue)
         taken = now - started
--- a/src/rackvalve/scheduling/speeds.py
+++ b/src/rackvalve/scheduling/speeds.py
@@ -83,7 +83,7 @@
         # Times of ended tasks with their workers, in seconds, by job.
         self._done: dict[str, dict[StepKey, list[tuple[str, float]]]] = {}
 
-    def note_done(self, placed: workers.Placed, taken: float) -> None:
+    def record_duration(self, placed: workers.Placed, taken: float) -> None:
         """Note how long a task has taken.
 
         :param placed: Its run.
