--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -191,7 +191,7 @@
             if run.stop_wanted or not speeds.is_comparable(placed):
                 continue
             rest = speeds.estimate_rest(run)
-            usual = self._book.speeds.expect(placed)
+            usual = self._book.speeds.estimate_typical(placed)
             if rest is None or usual is None or rest < usual + RESTART_S:
                 continue
             if not self._has_room_elsewhere(placed, now):
--- a/src/rackvalve/scheduling/speeds.py
+++ b/src/rackvalve/scheduling/speeds.py
@@ -101,7 +101,7 @@
         """
         self._done.pop(state.identity, None)
 
-    def expect(self, placed: workers.Placed) -> float | None:
+    def estimate_typical(self, placed: workers.Placed) -> float | None:
         """Return how long a run's task takes on other workers, in seconds.
 
         :param placed: The run.
@@ -158,7 +158,7 @@
                 # Quicker than most of its queue: not worth a closer look.
                 ratios.append(1.0)
                 continue
-            usual = self.expect(placed)
+            usual = self.estimate_typical(placed)
             if usual:
                 ratios.append(total / usual)
         return ratios
