--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -370,4 +370,4 @@
         run.percent = row.percent
         run.percent_since = now
     run.load = row.load
-    speeds.sample(run, now)
+    speeds.update_rate(run, now)
--- a/src/rackvalve/scheduling/speeds.py
+++ b/src/rackvalve/scheduling/speeds.py
@@ -35,7 +35,7 @@
 StepKey = tuple[int, int]
 
 
-def sample(run: progress.Run, now: float) -> None:
+def update_rate(run: progress.Run, now: float) -> None:
     """Measure a run's speed by its newest progress.
 
     :param run: The run, just after a report.
