--- a/features/steps/sizing_steps.py
+++ b/features/steps/sizing_steps.py
@@ -94,7 +94,7 @@
 @behave.then("the pool is expected to need {count:d} VMs")
 def check_not_rising(context, count):
     size = context.sizing.pools[models.POOL]
-    assert size.forecast.expect(context.bench.now) == count
+    assert size.forecast.predict(context.bench.now) == count
 
 
 @behave.when("{count:d} jobs for 1 VM come each 0.1 s for 0.8 s")
--- a/features/steps/turn_steps.py
+++ b/features/steps/turn_steps.py
@@ -107,7 +107,7 @@
 @behave.then("the pool is expected to need {count:d} VMs at the most")
 def check_no_turn(context, count):
     size = context.sizing.pools[models.POOL]
-    assert size.forecast.expect(context.bench.now) <= count
+    assert size.forecast.predict(context.bench.now) <= count
 
 
 @behave.given("a pool of 1 VM that bears 4 tasks at once, each of 1 s")
--- a/src/rackvalve/scheduling/forecast.py
+++ b/src/rackvalve/scheduling/forecast.py
@@ -62,7 +62,7 @@
         """The newest sample, in VMs."""
         return self._samples[-1][1] if self._samples else 0.0
 
-    def expect(self, now: float, ahead: float = LEAD_S) -> float:
+    def predict(self, now: float, ahead: float = LEAD_S) -> float:
         """Return the demand to come when a VM ordered now is at work, in VMs.
 
         Only what goes beyond the scatter of jobs that come at random is a
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -155,7 +155,7 @@
         """
         reserved = 0
         for size in self.pools.values():
-            expected = size.forecast.expect(now, maintenances.AWAY_S)
+            expected = size.forecast.predict(now, maintenances.AWAY_S)
             reserved += max(0, math.ceil(expected * HEADROOM) - size.have)
         return reserved
 
@@ -369,7 +369,7 @@
     wanted = math.ceil(size.forecast.newest * HEADROOM) + RESERVE
     if size.forecast.newest > size.have - RESERVE:
         wanted = math.ceil(size.forecast.newest * GROWTH) + RESERVE
-    wanted = max(wanted, math.ceil(size.forecast.expect(now)) + RESERVE)
+    wanted = max(wanted, math.ceil(size.forecast.predict(now)) + RESERVE)
     return max(size.least, wanted)
 
 
