--- a/src/rackvalve/scheduling/forecast.py
+++ b/src/rackvalve/scheduling/forecast.py
@@ -45,7 +45,7 @@
         self._largest = 0.0
         self._arrivals = 0
 
-    def note(self, demand: demands.Demand, now: float) -> None:
+    def add_sample(self, demand: demands.Demand, now: float) -> None:
         """Take a sample.
 
         :param demand: The demand now.
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -220,7 +220,7 @@
                 self.pools.pop(name, None)
                 continue
             size = self.pools.setdefault(name, PoolSize())
-            size.forecast.note(measured.get(name, demands.NONE), now)
+            size.forecast.add_sample(measured.get(name, demands.NONE), now)
             size.spread = spreads.get(name, 0)
             size.rotating = 0
             if size.spread:
