--- a/src/rackvalve/scheduling/closures.py
+++ b/src/rackvalve/scheduling/closures.py
@@ -17,12 +17,12 @@
     """Why the workers on a VM take no work.
 
     :param reason: Why.
-    :param besides: Pool whose workers take work there all the same; empty for
+    :param open_to_pool: Pool whose workers still take work there; empty for
         none.
     """
 
     reason: str
-    besides: str = ""
+    open_to_pool: str = ""
 
 
 class Closures:
@@ -47,7 +47,7 @@
         """
         entry = worker.entry
         found = self._by_vm.get(entry.vm) if entry is not None else None
-        if entry is None or found is None or entry.pool == found.besides:
+        if entry is None or found is None or entry.pool == found.open_to_pool:
             worker.closing = ""
         else:
             worker.closing = found.reason
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -166,7 +166,7 @@
         ends with it; one of the new pool shows that the VM has moved.
         """
         found = {
-            vm: closures.Closure(reason=SURPLUS, besides=pool)
+            vm: closures.Closure(reason=SURPLUS, open_to_pool=pool)
             for vm, pool in self.moving.items()
         }
         for vm in self.leaving():
