--- a/src/rackvalve/manager/caretaker.py
+++ b/src/rackvalve/manager/caretaker.py
@@ -273,7 +273,7 @@
     def _apply_closing(self) -> None:
         """Tell the workers whether they take no work, and why."""
         self._book.set_evacuated(self._view.evacuated)
-        later = self._maintenance.later()
+        later = self._maintenance.list_pending()
         closed = {
             vm: closures.Closure(reason=UNCERTAIN) for vm in self._uncertain
         }
--- a/src/rackvalve/scheduling/maintenance.py
+++ b/src/rackvalve/scheduling/maintenance.py
@@ -279,7 +279,7 @@
                 leaving |= state.closed | state.ordered.keys()
         return leaving
 
-    def later(self) -> set[str]:
+    def list_pending(self) -> set[str]:
         """Return the VMs that are still to be maintained."""
         later: set[str] = set()
         for state in self.waves.values():
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -289,7 +289,7 @@
     def _list_spares(self, spare: str) -> list[str]:
         """Return VMs that may come from the spare pool, best first."""
         leaving = self._maintenance.leaving()
-        later = self._maintenance.later()
+        later = self._maintenance.list_pending()
         found = [
             vm.identity
             for vm in self._maintenance.vms.values()
@@ -322,7 +322,7 @@
         """Return the VMs that may leave a pool, the cheapest first."""
         away = self._maintenance.leaving() | self.moving.keys() | size.leaving
         away |= self._maintenance.held
-        later = self._maintenance.later()
+        later = self._maintenance.list_pending()
         ranked: list[tuple[tuple[int, int, int], str]] = []
         for vm in self._maintenance.vms.values():
             worker = self._book.find_present(vm.worker)
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -269,7 +269,7 @@
     def _apply_closing(self) -> None:
         waves = self.maintenance.leaving()
         surplus = self.sizing.leaving()
-        later = self.maintenance.later()
+        later = self.maintenance.list_pending()
         departing = self.sizing.departing()
         for worker in self.book.workers.values():
             vm = worker.entry.vm if worker.entry is not None else ""
