--- a/src/rackvalve/scheduling/maintenance.py
+++ b/src/rackvalve/scheduling/maintenance.py
@@ -113,7 +113,7 @@
         self.complete = False
         self.published = ""
 
-    def left(self) -> list[str]:
+    def list_remaining(self) -> list[str]:
         """Return the VMs that were not ordered yet, in the wave's order."""
         return [
             vm
@@ -284,7 +284,7 @@
         later: set[str] = set()
         for state in self.waves.values():
             if not state.complete:
-                later.update(state.left())
+                later.update(state.list_remaining())
         return later
 
     def count_rotating(self, pool: str, now: float) -> int:
@@ -300,7 +300,9 @@
         for state in self.waves.values():
             if state.complete:
                 continue
-            left = sum(1 for vm in state.left() if self._is_in(vm, pool))
+            left = sum(
+                1 for vm in state.list_remaining() if self._is_in(vm, pool)
+            )
             # As many as it closes at all: four waves over all VMs at once
             # made a pool keep 6 idle VMs and want 30, while another one's
             # jobs stood for 9.7 s.
@@ -329,7 +331,7 @@
         will ask for meanwhile.  While pools are short, or soon will be, a
         wave waits that can still be in time.
         """
-        left = state.left()
+        left = state.list_remaining()
         wanted = self._count_wanted(state, len(left), now)
         most = state.wave.most_away + 1
         unused = self._count_unused()
@@ -452,7 +454,7 @@
     def _choose(self, state: WaveState, now: float) -> list[MaintainVm]:
         chosen = []
         away = self._find_away(state)
-        for vm in state.left():
+        for vm in state.list_remaining():
             if len(away) >= state.wave.most_away:
                 break
             if vm not in state.closed or state.not_before.get(vm, 0.0) > now:
@@ -481,4 +483,4 @@
         return state.ordered.keys() | listed | (state.closed & self.held)
 
     def _finish(self, state: WaveState) -> None:
-        state.complete = not state.left() and not state.ordered
+        state.complete = not state.list_remaining() and not state.ordered
