--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -176,7 +176,7 @@
 
 @behave.then("no VM of hall a is given away")
 def check_kept(context):
-    assert not context.sizing.leaving()
+    assert not context.sizing.list_leaving()
 
 
 @behave.when(
--- a/features/steps/turn_steps.py
+++ b/features/steps/turn_steps.py
@@ -97,8 +97,8 @@
     "1 VM is closed, and {count:d} move to the pool for it and for the next 3"
 )
 def check_places(context, count):
-    assert len(context.maintenance.leaving()) == 1, (
-        context.maintenance.leaving()
+    assert len(context.maintenance.list_leaving()) == 1, (
+        context.maintenance.list_leaving()
     )
     assert len(context.moves) == count, context.moves
     assert {move.pool for move in context.moves} == {models.POOL}
--- a/features/steps/upkeep_steps.py
+++ b/features/steps/upkeep_steps.py
@@ -112,7 +112,9 @@
     bench, care = context.bench, context.maintenance
     for worker in bench.book.workers.values():
         vm = worker.entry.vm
-        worker.closing = maintenance.CLOSED if vm in care.leaving() else ""
+        worker.closing = (
+            maintenance.CLOSED if vm in care.list_leaving() else ""
+        )
     care.take_list(
         [
             vms.list_vm(vm, worker=life, up=vm not in context.back)
@@ -246,7 +248,7 @@
         for worker in bench.book.workers.values():
             worker.answered = bench.now
         assert not context.maintenance.decide(bench.now) and not bench.stops()
-        leaving = context.maintenance.leaving()
+        leaving = context.maintenance.list_leaving()
         context.ever |= leaving
         closed = {vm: closed.get(vm, 0.0) + 0.1 for vm in leaving}
         context.stretch = max(context.stretch, *closed.values(), 0.0)
@@ -334,7 +336,7 @@
 @behave.then("at most 1 VM is closed at a time")
 def check_closed_at_once(context):
     context.maintenance.decide(context.bench.now)
-    assert len(context.maintenance.leaving()) == 1
+    assert len(context.maintenance.list_leaving()) == 1
 
 
 @behave.given(
--- a/src/rackvalve/manager/caretaker.py
+++ b/src/rackvalve/manager/caretaker.py
@@ -278,7 +278,7 @@
             vm: closures.Closure(reason=UNCERTAIN) for vm in self._uncertain
         }
         closed |= self._sizing.find_closures()
-        for vm in self._maintenance.leaving():
+        for vm in self._maintenance.list_leaving():
             closed[vm] = closures.Closure(reason=maintenances.CLOSED)
         self._book.closures.set(closed)
         for worker in self._book.workers.values():
--- a/src/rackvalve/scheduling/maintenance.py
+++ b/src/rackvalve/scheduling/maintenance.py
@@ -271,7 +271,7 @@
             empty = empty and left
         return empty
 
-    def leaving(self) -> set[str]:
+    def list_leaving(self) -> set[str]:
         """Return the VMs that are closed or away for a wave."""
         leaving: set[str] = set()
         for state in self.waves.values():
@@ -385,7 +385,7 @@
 
     def _count_unused(self) -> int:
         """Return how many spare VMs could go to a pool now."""
-        leaving = self.leaving()
+        leaving = self.list_leaving()
         return sum(
             1
             for vm in self.vms.values()
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -119,7 +119,7 @@
         maintenance.moving = self.moving.keys()
         self.arrived: dict[str, float] = {}
 
-    def leaving(self) -> set[str]:
+    def list_leaving(self) -> set[str]:
         """Return the VMs that are vacated to leave their pools."""
         return set().union(*(pool.leaving for pool in self.pools.values()))
 
@@ -169,7 +169,7 @@
             vm: closures.Closure(reason=SURPLUS, open_to_pool=pool)
             for vm, pool in self.moving.items()
         }
-        for vm in self.leaving():
+        for vm in self.list_leaving():
             found[vm] = closures.Closure(reason=SURPLUS)
         return found
 
@@ -235,7 +235,7 @@
 
         Those that a wave has closed take no work; others stand in for them.
         """
-        maintained = self._maintenance.leaving()
+        maintained = self._maintenance.list_leaving()
         coming = sum(1 for pool in self.moving.values() if pool == name)
         working = sum(
             1
@@ -288,7 +288,7 @@
 
     def _list_spares(self, spare: str) -> list[str]:
         """Return VMs that may come from the spare pool, best first."""
-        leaving = self._maintenance.leaving()
+        leaving = self._maintenance.list_leaving()
         later = self._maintenance.list_pending()
         found = [
             vm.identity
@@ -320,7 +320,11 @@
         self, name: str, size: PoolSize, now: float
     ) -> list[str]:
         """Return the VMs that may leave a pool, the cheapest first."""
-        away = self._maintenance.leaving() | self.moving.keys() | size.leaving
+        away = (
+            self._maintenance.list_leaving()
+            | self.moving.keys()
+            | size.leaving
+        )
         away |= self._maintenance.held
         later = self._maintenance.list_pending()
         ranked: list[tuple[tuple[int, int, int], str]] = []
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -267,8 +267,8 @@
         self.at(self.now + timing.CARE_INTERVAL_S, self._care)
 
     def _apply_closing(self) -> None:
-        waves = self.maintenance.leaving()
-        surplus = self.sizing.leaving()
+        waves = self.maintenance.list_leaving()
+        surplus = self.sizing.list_leaving()
         later = self.maintenance.list_pending()
         departing = self.sizing.departing()
         for worker in self.book.workers.values():
