--- a/src/rackvalve/scheduling/maintenance.py
+++ b/src/rackvalve/scheduling/maintenance.py
@@ -239,7 +239,7 @@
         else:
             state.not_before[order.vm] = now + REFUSED_PAUSE_S
 
-    def workers_on(self, vm: str) -> list[workers.WorkerState]:
+    def find_workers(self, vm: str) -> list[workers.WorkerState]:
         """Return the lives of workers that may be on a VM.
 
         The platform's list may be older than a worker's own entry, and the
@@ -265,7 +265,7 @@
         :return: Whether nothing is left on it.
         """
         empty = True
-        for worker in self.workers_on(vm):
+        for worker in self.find_workers(vm):
             worker.closing = reason
             left = eviction.vacate(self._book, worker, patience, now)
             empty = empty and left
@@ -417,7 +417,7 @@
     def _cost(self, vm: str) -> tuple[bool, int, int]:
         placed = [
             run
-            for worker in self.workers_on(vm)
+            for worker in self.find_workers(vm)
             for run in worker.runs.values()
         ]
         lasting = sum(1 for run in placed if run.step.lasting)
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -191,7 +191,7 @@
     def _begin(self, vm: str, pool: str) -> MoveVm:
         """Choose a move; from now on the VM's workers take no work."""
         self.moving[vm] = pool
-        for worker in self._maintenance.workers_on(vm):
+        for worker in self._maintenance.find_workers(vm):
             worker.closing = SURPLUS
         if pool in self.pools:
             self.pools[pool].have += 1
