--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -243,7 +243,7 @@
         context.maintenance.decide(context.bench.now, short=True)
         if state.closed:
             closed_at = context.bench.now - began
-    aim = maintenance.AIM * state.wave.duration
+    aim = maintenance.PLANNED_PART * state.wave.duration
     rounds = -(-len(state.wave.vms) // state.wave.most_away)
     needed = (rounds - 1) * maintenance.AWAY_S + maintenance.CYCLE_S
     assert abs(closed_at - (aim - needed)) <= 2 * TICK_S, closed_at
--- a/features/steps/upkeep_steps.py
+++ b/features/steps/upkeep_steps.py
@@ -313,7 +313,7 @@
         # So that no VM is empty and ordered at once.
         bench.add(definition.Step(cpu=1), identity=f"{vm:0>16}")
     bench.start_all()
-    aim = state.began + maintenance.AIM * state.wave.duration
+    aim = state.began + maintenance.PLANNED_PART * state.wave.duration
     bench.now = aim - 0.5
     context.maintenance.decide(bench.now)
     assert len(state.closed) == few, state.closed
--- a/src/rackvalve/scheduling/maintenance.py
+++ b/src/rackvalve/scheduling/maintenance.py
@@ -27,7 +27,7 @@
 # margin.  A VM on which nothing runs is away for no longer.
 AWAY_S = 3.0
 # Aim to be done after this part of the time that the operator gives.
-AIM = 0.75
+PLANNED_PART = 0.75
 # Part of a pool that may be closed or away at once; and once the wave is late,
 # since a pool that lacks VMs gets others meanwhile.
 POOL_PART = 0.34
@@ -349,7 +349,7 @@
         ]
         open_vms.sort(key=self._cost)
         spreads = measure_spreads(self._book)
-        late = now > state.began + AIM * state.wave.duration
+        late = now > state.began + PLANNED_PART * state.wave.duration
         part = LATE_PART if late else POOL_PART
         for vm in open_vms:
             busy = len(state.closed) + len(state.ordered.keys() - state.closed)
@@ -369,17 +369,18 @@
 
     def _count_rounds(self, state: WaveState, now: float) -> float:
         """Return how often the VMs of a round can still follow each other."""
-        time = state.began + AIM * state.wave.duration - now
+        time = state.began + PLANNED_PART * state.wave.duration - now
         return max(1.0, time / CYCLE_S)
 
     def _can_wait(self, state: WaveState, left: int, now: float) -> bool:
         """Return whether a wave that pauses now can still be in time.
 
-        Between rises its VMs are mostly empty and each round takes as long as
-        they are away; the last one is given time to vacate.  What goes beyond
-        that has the rest of the operator's time, which :data:`AIM` keeps.
+        Between bursts of demand its VMs are mostly empty and each round takes
+        as long as they are away; the last round is given time to vacate.
+        Anything beyond that has the rest of the operator's time, which
+        :data:`PLANNED_PART` keeps.
         """
-        time = state.began + AIM * state.wave.duration - now
+        time = state.began + PLANNED_PART * state.wave.duration - now
         rounds = math.ceil(left / max(1, state.wave.most_away))
         return time > (rounds - 1) * AWAY_S + CYCLE_S
 
