--- a/src/rackvalve/scheduling/maintenance.py
+++ b/src/rackvalve/scheduling/maintenance.py
@@ -38,7 +38,7 @@
 # pool's work waits, and what keeps it (a lasting task whose step can spare
 # none, a wave whose VMs do not come back) may last.  Longer than work is given
 # to end (5 s), to be stopped (0.9 s), and a VM before it to be away (3 s).
-CLOSED_MOST_S = 10.0
+MAX_CLOSED_S = 10.0
 # Such a VM is not closed again for this long, in seconds: others go first.
 REOPENED_PAUSE_S = 5.0
 # An order that was refused is given again after this pause, in seconds.
@@ -317,7 +317,7 @@
         }
         for vm, since in state.closed_since.items():
             waits = vm not in state.ordered and self._is_free(vm)
-            late = now - since > CLOSED_MOST_S or self._is_lost(vm)
+            late = now - since > MAX_CLOSED_S or self._is_lost(vm)
             if waits and late:
                 state.closed.discard(vm)
                 state.not_before[vm] = now + REOPENED_PAUSE_S
