--- a/features/steps/upkeep_steps.py
+++ b/features/steps/upkeep_steps.py
@@ -187,8 +187,8 @@
 @behave.when("its VM is to leave for {reason}")
 def vacate(context, reason):
     patience = {
-        "maintenance": maintenance.PATIENCE_S,
-        "surplus": sizing.PATIENCE_S,
+        "maintenance": maintenance.GRACE_S,
+        "surplus": sizing.GRACE_S,
     }
     eviction.vacate(
         context.bench.book,
--- a/src/rackvalve/scheduling/maintenance.py
+++ b/src/rackvalve/scheduling/maintenance.py
@@ -33,7 +33,7 @@
 POOL_PART = 0.34
 LATE_PART = 0.67
 # Work that does not last is given this long to end by itself, in seconds.
-PATIENCE_S = 5.0
+GRACE_S = 5.0
 # A VM that is closed for longer than this goes back into use, in seconds: its
 # pool's work waits, and what keeps it (a lasting task whose step can spare
 # none, a wave whose VMs do not come back) may last.  Longer than work is given
@@ -462,7 +462,7 @@
                 continue
             if not self._is_free(vm):
                 continue
-            if not self.vacate(vm, CLOSED, PATIENCE_S, now):
+            if not self.vacate(vm, CLOSED, GRACE_S, now):
                 continue
             state.ordered[vm] = None
             away.add(vm)
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -30,7 +30,7 @@
 # Least VMs of a pool.
 LEAST = 3
 # Work that does not last is let end on a VM that is only not needed.
-PATIENCE_S = float("inf")
+GRACE_S = float("inf")
 # A VM that has just come to a pool stays for this long, in seconds.  One that
 # came too late for a rise is soon free for the next pool: beside 3 s, 1.5 %
 # less of the VMs' seconds in pools and 5 % more moves (20 pairs of plays).
@@ -356,7 +356,7 @@
         for vm in sorted(size.leaving):
             if vm not in self._maintenance.vms:
                 size.leaving.discard(vm)
-            elif self._maintenance.vacate(vm, SURPLUS, PATIENCE_S, now):
+            elif self._maintenance.vacate(vm, SURPLUS, GRACE_S, now):
                 size.leaving.discard(vm)
                 pool = self._find_most_lacking() or spare
                 orders.append(self._begin(vm, pool))
