--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -144,7 +144,7 @@
     vms += [make_vm(f"a{n}", SPARE, "a") for n in range(9)]
     vms += [make_vm(f"b{n}", SPARE, "b") for n in range(9)]
     context.maintenance.take_list(vms, bench.now)
-    context.sizing = sizing.Sizing(
+    context.sizing = sizing.Sizer(
         bench.book,
         context.maintenance,
         failure_detector.FailureDetector(bench.book, context.maintenance),
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -98,7 +98,7 @@
     """Let all that decides look at the book once."""
     care = maintenance.MaintenancePlanner(bench.book)
     silent = failure_detector.FailureDetector(bench.book, care)
-    sizes = sizing.Sizing(bench.book, care, silent)
+    sizes = sizing.Sizer(bench.book, care, silent)
     silent.check(bench.now)
     care.decide(
         bench.now,
@@ -184,7 +184,7 @@
         care.take_list(found, bench.now)
     silent = failure_detector.FailureDetector(bench.book, care)
     silent.check(bench.now)
-    sizing.Sizing(bench.book, care, silent).decide(bench.now)
+    sizing.Sizer(bench.book, care, silent).decide(bench.now)
 
 
 def _answer_admission(rng, answer):
--- a/features/vm_bench.py
+++ b/features/vm_bench.py
@@ -51,7 +51,7 @@
     context.silence = failure_detector.FailureDetector(
         context.bench.book, context.maintenance
     )
-    context.sizing = sizing.Sizing(
+    context.sizing = sizing.Sizer(
         context.bench.book, context.maintenance, context.silence
     )
     context.listed = {name: list_vm(name) for name in names}
--- a/src/rackvalve/manager/caretaker.py
+++ b/src/rackvalve/manager/caretaker.py
@@ -100,7 +100,7 @@
         self._silence = failure_detector.FailureDetector(
             book, self._maintenance
         )
-        self._sizing = sizings.Sizing(book, self._maintenance, self._silence)
+        self._sizing = sizings.Sizer(book, self._maintenance, self._silence)
         self._order_pause = order_pause
         # VMs that an earlier owner has given orders to, and until when they
         # are left alone.
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -87,7 +87,7 @@
         return max(LEAST, self.spread + RESERVE + self.rotating)
 
 
-class Sizing:
+class Sizer:
     """Decides over the sizes of all pools.
 
     :param book: The book.
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -92,7 +92,7 @@
         )
         self.maintenance = maintenances.MaintenancePlanner(self.book)
         self.silence = policy.silence(self.book, self.maintenance)
-        self.sizing = sizings.Sizing(self.book, self.maintenance, self.silence)
+        self.sizing = sizings.Sizer(self.book, self.maintenance, self.silence)
         self.vms = {
             f"m{n}": vms.Vm(
                 f"m{n}",
