--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -74,7 +74,7 @@
         self.rotating = 0
 
     @property
-    def lacks(self) -> int:
+    def shortage(self) -> int:
         """How many VMs the pool lacks."""
         return max(0, self.wanted - self.have)
 
@@ -134,7 +134,7 @@
         self._settle(now)
         self._count(now)
         orders = self._grow_all(spare)
-        lacking = any(size.lacks for size in self.pools.values())
+        lacking = any(size.shortage for size in self.pools.values())
         for name, size in self.pools.items():
             self._shrink(name, size, now, lacking=lacking)
             orders.extend(self._vacate(size, spare, now))
@@ -143,7 +143,7 @@
     @property
     def is_short(self) -> bool:
         """Whether a pool still lacks VMs after all spare ones were given."""
-        return any(size.lacks for size in self.pools.values())
+        return any(size.shortage for size in self.pools.values())
 
     def count_reserved(self, now: float) -> int:
         """Return how many VMs the pools will ask for during maintenance.
@@ -266,7 +266,7 @@
         """Give spare VMs to the pools that lack most, one at a time."""
         orders: list[MoveVm] = []
         for size in self.pools.values():
-            while size.lacks and size.leaving:
+            while size.shortage and size.leaving:
                 size.leaving.remove(min(size.leaving))
                 size.have += 1
         spares = self._list_spares(spare)
@@ -280,9 +280,11 @@
     def _find_most_lacking(self) -> str | None:
         """Return the pool that lacks most VMs, if one lacks any."""
         best = max(
-            self.pools, key=lambda name: self.pools[name].lacks, default=None
+            self.pools,
+            key=lambda name: self.pools[name].shortage,
+            default=None,
         )
-        if best is None or not self.pools[best].lacks:
+        if best is None or not self.pools[best].shortage:
             return None
         return best
 
