--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -79,7 +79,7 @@
         return max(0, self.wanted - self.have)
 
     @property
-    def least(self) -> int:
+    def minimum(self) -> int:
         """How many VMs the pool keeps whatever its demand is."""
         if not self.spread:
             return LEAST
@@ -376,7 +376,7 @@
     if size.forecast.newest > size.have - RESERVE:
         wanted = math.ceil(size.forecast.newest * GROWTH) + RESERVE
     wanted = max(wanted, math.ceil(size.forecast.predict(now)) + RESERVE)
-    return max(size.least, wanted)
+    return max(size.minimum, wanted)
 
 
 def _count_kept(size: PoolSize) -> int:
