--- a/features/steps/sizing_steps.py
+++ b/features/steps/sizing_steps.py
@@ -81,7 +81,7 @@
 def check_shrunk(context, count):
     assert {move.pool for move in context.moves} == {vms.SPARE}, context.moves
     assert len(context.names) - len(context.moves) == count
-    assert count == sizing.LEAST
+    assert count == sizing.MIN_POOL_VMS
 
 
 @behave.when("a job for {count:d} VMs comes")
@@ -217,5 +217,5 @@
 
 @behave.then("empty VMs of the first pool move to the other")
 def check_direct(context):
-    assert len(context.moves) == 6 - sizing.LEAST
+    assert len(context.moves) == 6 - sizing.MIN_POOL_VMS
     assert {move.pool for move in context.moves} == {vms.OTHER}
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -28,7 +28,7 @@
 # VMs beyond all this: the loss of one is made good without waiting for a move.
 RESERVE = 1
 # Least VMs of a pool.
-LEAST = 3
+MIN_POOL_VMS = 3
 # Work that does not last is let end on a VM that is only not needed.
 GRACE_S = float("inf")
 # A VM that has just come to a pool stays for this long, in seconds.  One that
@@ -82,9 +82,9 @@
     def minimum(self) -> int:
         """How many VMs the pool keeps whatever its demand is."""
         if not self.spread:
-            return LEAST
+            return MIN_POOL_VMS
         # What leaves a VM needs a place that the others do not have.
-        return max(LEAST, self.spread + RESERVE + self.rotating)
+        return max(MIN_POOL_VMS, self.spread + RESERVE + self.rotating)
 
 
 class Sizer:
