--- a/features/steps/sizing_steps.py
+++ b/features/steps/sizing_steps.py
@@ -27,7 +27,7 @@
 def make_busy_pool(context, count, spares):
     vms.make_sizing(context, count, spares)
     # As many VMs as the pool keeps for this demand.
-    busy = int((count - sizing.RESERVE) / sizing.HEADROOM)
+    busy = int((count - sizing.RESERVE_VMS) / sizing.HEADROOM)
     context.bench.add(definition.Step(tasks=busy, cpu=vms.WIDE.cpu))
     context.bench.start_all()
     assert not vms.step_sizing(context, 1.0)
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -26,7 +26,7 @@
 # growing while VMs are on their way.
 GROWTH = 1.5
 # VMs beyond all this: the loss of one is made good without waiting for a move.
-RESERVE = 1
+RESERVE_VMS = 1
 # Least VMs of a pool.
 MIN_POOL_VMS = 3
 # Work that does not last is let end on a VM that is only not needed.
@@ -84,7 +84,7 @@
         if not self.spread:
             return MIN_POOL_VMS
         # What leaves a VM needs a place that the others do not have.
-        return max(MIN_POOL_VMS, self.spread + RESERVE + self.rotating)
+        return max(MIN_POOL_VMS, self.spread + RESERVE_VMS + self.rotating)
 
 
 class Sizer:
@@ -372,17 +372,17 @@
 
 def _count_wanted(size: PoolSize, now: float) -> int:
     """Return how many VMs a pool needs for what it has to do."""
-    wanted = math.ceil(size.forecast.newest * HEADROOM) + RESERVE
-    if size.forecast.newest > size.have - RESERVE:
-        wanted = math.ceil(size.forecast.newest * GROWTH) + RESERVE
-    wanted = max(wanted, math.ceil(size.forecast.predict(now)) + RESERVE)
+    wanted = math.ceil(size.forecast.newest * HEADROOM) + RESERVE_VMS
+    if size.forecast.newest > size.have - RESERVE_VMS:
+        wanted = math.ceil(size.forecast.newest * GROWTH) + RESERVE_VMS
+    wanted = max(wanted, math.ceil(size.forecast.predict(now)) + RESERVE_VMS)
     return max(size.minimum, wanted)
 
 
 def _count_kept(size: PoolSize) -> int:
     """Return how many VMs a pool keeps, so that few move to and fro."""
     return max(
-        size.wanted, math.ceil(size.forecast.peak() * HEADROOM) + RESERVE
+        size.wanted, math.ceil(size.forecast.peak() * HEADROOM) + RESERVE_VMS
     )
 
 
