--- a/features/steps/sizing_steps.py
+++ b/features/steps/sizing_steps.py
@@ -73,7 +73,7 @@
 def finish_work(context):
     context.bench.book.cancel_job(benches.IDENTITY, context.bench.now)
     context.moves = vms.step_sizing(
-        context, forecast.PEAK_WINDOW_S + sizing.STAY_S + 1.0
+        context, forecast.PEAK_WINDOW_S + sizing.MIN_STAY_S + 1.0
     )
 
 
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -34,7 +34,7 @@
 # A VM that has just come to a pool stays for this long, in seconds.  One that
 # came too late for a rise is soon free for the next pool: beside 3 s, 1.5 %
 # less of the VMs' seconds in pools and 5 % more moves (20 pairs of plays).
-STAY_S = 1.0
+MIN_STAY_S = 1.0
 SURPLUS = "surplus"
 
 
@@ -341,7 +341,7 @@
             # It was not counted, and is of use again once the hall is.
             if vm.hall in self._book.evacuated:
                 continue
-            if now - self.arrived.get(vm.identity, float("-inf")) < STAY_S:
+            if now - self.arrived.get(vm.identity, float("-inf")) < MIN_STAY_S:
                 continue
             lasting, runs = _count_cost(worker)
             rank = (lasting, runs, int(vm.identity not in later))
