--- a/src/rackvalve/manager/caretaker.py
+++ b/src/rackvalve/manager/caretaker.py
@@ -208,7 +208,7 @@
                 for worker in self._book.lives.find(vm):
                     worker.ordered_away = False
                 # Where the list does not show its move, there was none.
-                self._sizing.give_up(vm)
+                self._sizing.forget_move(vm)
         self._maintenance.held = frozenset(self._held)
 
     def _forget_ordered(self, now: float) -> None:
@@ -437,7 +437,7 @@
         if not isinstance(outcome, clients.Ordered):
             # One that may still be carried out is given up after the pause.
             if order.vm not in self._held:
-                self._sizing.give_up(order.vm)
+                self._sizing.forget_move(order.vm)
 
     def _record_waves(self) -> None:
         for number, state in self._maintenance.waves.items():
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -181,7 +181,7 @@
         """
         self.moving[vm] = pool
 
-    def give_up(self, vm: str) -> None:
+    def forget_move(self, vm: str) -> None:
         """Forget a move that the platform has not taken, or not in time.
 
         :param vm: The VM.
