--- a/features/steps/upkeep_steps.py
+++ b/features/steps/upkeep_steps.py
@@ -14,8 +14,8 @@
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import maintenance
 from rackvalve.scheduling import messages
+from rackvalve.scheduling import pacing
 from rackvalve.scheduling import queues
-from rackvalve.scheduling import sharing
 from rackvalve.scheduling import sizing
 
 AWAY_S = 1.0
@@ -361,7 +361,7 @@
 def press(context, tail, pace):
     context.placed["1"].run.load = float(tail)
     context.placed["2"].run.pace = pace
-    context.orders = sharing.set_paces(
+    context.orders = pacing.set_paces(
         context.bench.book.workers["w1"], context.bench.now, 0.1
     )
 
@@ -369,7 +369,7 @@
 @behave.then("the pace becomes {new:d}")
 def check_pace(context, new):
     assert context.placed["2"].run.pace == new
-    assert context.placed["1"].run.pace == sharing.FULL_PACE
+    assert context.placed["1"].run.pace == pacing.FULL_PACE
     for order in context.orders:
         assert order.percent == new and order.task.startswith("2" * 16)
 
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -35,10 +35,10 @@
 from rackvalve.scheduling import book as books
 from rackvalve.scheduling import fencing_tokens
 from rackvalve.scheduling import messages
+from rackvalve.scheduling import pacing
 from rackvalve.scheduling import planner as planners
 from rackvalve.scheduling import queues
 from rackvalve.scheduling import reports
-from rackvalve.scheduling import sharing
 from rackvalve.scheduling import workers
 from rackvalve import telemetry as telemetries
 
@@ -241,7 +241,7 @@
                 ended=len(report.ended),
             )
         self._book.orders.extend(
-            sharing.set_paces(worker, now, self._rules.pace_interval)
+            pacing.set_paces(worker, now, self._rules.pace_interval)
         )
         self._reporter.log_begun()
         self._reporter.log_ends()
