--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -27,9 +27,9 @@
 from rackvalve.platform import workers as clients
 from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import fencing_tokens
+from rackvalve.scheduling import maintenance
 from rackvalve.scheduling import queues
 from rackvalve.scheduling import sizing
-from rackvalve.scheduling import upkeep
 from rackvalve.scheduling import worker_restarts
 
 ODD_SEED = 40
@@ -96,9 +96,9 @@
 
 def _decide(bench):
     """Let all that decides look at the book once."""
-    care = upkeep.Upkeep(bench.book)
+    care = maintenance.MaintenancePlanner(bench.book)
     silent = failure_detector.FailureDetector(bench.book, care)
-    sizes = sizing.Sizing(bench.book, care, silent)
+    sizes = sizing.Sizer(bench.book, care, silent)
     silent.check(bench.now)
     care.decide(
         bench.now,
@@ -179,12 +179,12 @@
     answer(rng, {"machines": rows, "next-token": None})
     client = connections.HttpClient("127.0.0.1", 1)
     found = machines.Machines(client, "vm", timeout=TIMEOUT_S).list_vms()
-    care = upkeep.Upkeep(bench.book)
+    care = maintenance.MaintenancePlanner(bench.book)
     if isinstance(found, list):
         care.take_list(found, bench.now)
     silent = failure_detector.FailureDetector(bench.book, care)
     silent.check(bench.now)
-    sizing.Sizing(bench.book, care, silent).decide(bench.now)
+    sizing.Sizer(bench.book, care, silent).decide(bench.now)
 
 
 def _answer_admission(rng, answer):
@@ -197,7 +197,9 @@
         on_change=lambda: None,
     )
     state = bench.book.jobs[benches.IDENTITY]
-    advice = queues.Advice(decide_time=0.1, worker_time=0.01, valid=1.0)
+    advice = queues.AdmissionLimits(
+        decide_time=0.1, worker_time=0.01, valid=1.0
+    )
     with mock.patch.object(admission.gevent, "sleep"):
         asking._ask(state.step_name(0, 0), ["w1", "w2"], advice)
     asking._expire(bench.now)
@@ -256,7 +258,7 @@
     view = views.View()
     for key, document in documents.items():
         view.apply_item(make_item(key, odd_answers.vary(rng, document)))
-    care = upkeep.Upkeep(bench.book)
+    care = maintenance.MaintenancePlanner(bench.book)
     for wave in view.waves.values():
         care.add_wave(wave, bench.now)
     if view.configuration is not None:
--- a/src/rackvalve/platform/documents.py
+++ b/src/rackvalve/platform/documents.py
@@ -176,7 +176,7 @@
         rack=rack,
         hall=wire.zone,
         labels=frozenset(wire.labels),
-        capacity=fleet.Room(
+        capacity=fleet.Resources(
             cpu=wire.capacity.cpu,
             memory=wire.capacity.mem_mb,
             gpu=wire.capacity.gpu,
@@ -275,9 +275,9 @@
     )
 
 
-def _read_bound(bound: _WireBound) -> fleet.Room:
+def _read_bound(bound: _WireBound) -> fleet.Resources:
     """Decode a bound; a negative one, which none can keep, is none."""
-    return fleet.Room(
+    return fleet.Resources(
         cpu=max(0, bound.cpu),
         memory=max(0, bound.mem_mb),
         gpu=max(0, bound.gpu),
@@ -287,7 +287,7 @@
 def _read_queue(route: _WireRoute, *, needs_key: bool) -> queues.Queue:
     advice = None
     if route.advice is not None:
-        advice = queues.Advice(
+        advice = queues.AdmissionLimits(
             decide_time=route.advice.decide_ms / 1000,
             worker_time=route.advice.each_ms / 1000,
             valid=route.advice.valid_ms / 1000,
@@ -301,7 +301,7 @@
         attempts=route.max_attempts,
         stretch=route.stretch,
         allowance=route.target_latency_ms / 1000,
-        advice=advice,
+        admission=advice,
         needs_key=needs_key,
     )
 
--- a/src/rackvalve/scheduling/hindrance.py
+++ b/src/rackvalve/scheduling/hindrance.py
@@ -17,9 +17,9 @@
 from rackvalve.scheduling import book as books
 from rackvalve.scheduling import crashes
 from rackvalve.scheduling import fleet
+from rackvalve.scheduling import maintenance
 from rackvalve.scheduling import planner as planners
 from rackvalve.scheduling import queues
-from rackvalve.scheduling import upkeep
 from rackvalve.scheduling import workers
 
 
@@ -78,7 +78,7 @@
     cause: Cause
     since: float
     pool: str = ""
-    need: fleet.Room | None = None
+    need: fleet.Resources | None = None
     workers: tuple[str, ...] = ()
     proof_in: float | None = None
     awaited: Awaited | None = None
@@ -101,7 +101,7 @@
         return Availability.SILENT
     if worker.entry.draining:
         return Availability.DRAINING
-    if worker.closing == upkeep.CLOSED:
+    if worker.closing == maintenance.CLOSED:
         return Availability.WAVE
     if worker.evacuated:
         return Availability.EVACUATED
@@ -162,7 +162,7 @@
 
     def has_room(
         self,
-        need: fleet.Room,
+        need: fleet.Resources,
         labels: tuple[str, ...],
         tickets: Container[str] | None = None,
     ) -> bool:
@@ -315,7 +315,7 @@
         if not ready:
             return None
         first = min(ready.values(), key=lambda name: _size(state, name))
-        need = fleet.need_of(state.step_of(first))
+        need = fleet.get_resource_request(state.step_of(first))
         return Hindrance(
             cause=self._judge_task(state, queue, first, need),
             since=self._now,
@@ -328,7 +328,7 @@
         state: progress.JobState,
         queue: queues.Queue,
         name: definition.TaskName,
-        need: fleet.Room,
+        need: fleet.Resources,
     ) -> Cause:
         step = state.step_of(name)
         task = state.tasks[name]
@@ -340,13 +340,13 @@
         asked = step.tasks if step.gang else 1
         workspace = self._book.find_workspace(state)
         allowed = self._book.usage.count_allowed(
-            workspace, fleet.ask_of(step), asked
+            workspace, fleet.get_charge(step), asked
         )
         if allowed < asked:
             return Cause.BOUND
         if not pool.has_room(need, step.labels):
             return Cause.NO_ROOM
-        if queue.advice is not None:
+        if queue.admission is not None:
             whole = state.step_name(name.repetition, name.step)
             tickets = self._planner.tickets.get(whole, {})
             if not pool.has_room(need, step.labels, tickets):
@@ -382,9 +382,9 @@
         )
 
 
-def _find_largest(rooms: Collection[fleet.Room]) -> list[fleet.Room]:
+def _find_largest(rooms: Collection[fleet.Resources]) -> list[fleet.Resources]:
     """Return the rooms that lie within no other one."""
-    largest: list[fleet.Room] = []
+    largest: list[fleet.Resources] = []
     # A room that holds another one comes before it.
     for room in sorted(rooms, key=_sum, reverse=True):
         if not any(other.fits(room) for other in largest):
@@ -392,7 +392,7 @@
     return largest
 
 
-def _sum(room: fleet.Room) -> int:
+def _sum(room: fleet.Resources) -> int:
     return room.cpu + room.memory + room.gpu
 
 
