--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -24,9 +24,9 @@
 from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import fencing_tokens
 from rackvalve.scheduling import fleet
+from rackvalve.scheduling import maintenance
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import queues
-from rackvalve.scheduling import upkeep
 
 EARLIER = "w1@1000"
 LATER = "w1@2000"
@@ -219,9 +219,9 @@
 )
 def follow_life(context, age):
     bench = context.bench = benches.Bench([])
-    context.upkeep = upkeep.Upkeep(bench.book)
+    context.maintenance = maintenance.MaintenancePlanner(bench.book)
     context.silence = failure_detector.FailureDetector(
-        bench.book, context.upkeep
+        bench.book, context.maintenance
     )
     bench.book.set_entry(make_entry(LATER))
     bench.add(definition.Step(tasks=1, cpu=1))
@@ -243,7 +243,7 @@
 def take_list(context, worker):
     bench = context.bench
     row = vm_bench.list_vm(EARLIER, worker=worker, up=bool(worker))
-    context.upkeep.take_list([row], bench.now)
+    context.maintenance.take_list([row], bench.now)
     context.silence.check(bench.now)
 
 
@@ -334,8 +334,10 @@
 @behave.given("a step whose only worker is admitted for a minute")
 def admit(context):
     bench = context.bench = benches.Bench([EARLIER])
-    advice = queues.Advice(decide_time=0.1, worker_time=0.01, valid=60.0)
-    queue = dataclasses.replace(models.QUEUE, advice=advice)
+    advice = queues.AdmissionLimits(
+        decide_time=0.1, worker_time=0.01, valid=60.0
+    )
+    queue = dataclasses.replace(models.QUEUE, admission=advice)
     bench.book.set_configuration(
         dataclasses.replace(models.CONFIGURATION, queues=(queue,))
     )
--- a/src/rackvalve/manager/vm_controller.py
+++ b/src/rackvalve/manager/vm_controller.py
@@ -25,8 +25,8 @@
 from rackvalve.scheduling import book as books
 from rackvalve.scheduling import closures
 from rackvalve.scheduling import failure_detector
+from rackvalve.scheduling import maintenance as maintenances
 from rackvalve.scheduling import sizing as sizings
-from rackvalve.scheduling import upkeep as upkeeps
 from rackvalve.scheduling import workers
 from rackvalve import telemetry as telemetries
 
@@ -102,9 +102,11 @@
         self._fence = fence
         self._telemetry = telemetry
         self._on_change = on_change
-        self._upkeep = upkeeps.Upkeep(book)
-        self._silence = failure_detector.FailureDetector(book, self._upkeep)
-        self._sizing = sizings.Sizing(book, self._upkeep, self._silence)
+        self._maintenance = maintenances.MaintenancePlanner(book)
+        self._silence = failure_detector.FailureDetector(
+            book, self._maintenance
+        )
+        self._sizing = sizings.Sizer(book, self._maintenance, self._silence)
         self._order_pause = order_pause
         # VMs on hold because of an uncertain order or one of an earlier owner,
         # and until when.
@@ -162,7 +164,7 @@
         number = int(item.key.removeprefix(PREFIX))
         record = msgspec.json.decode(item.payload, type=_Record)
         elapsed = record.count_elapsed(clocks.read_wall())
-        self._upkeep.restore(
+        self._maintenance.restore(
             number,
             record.ordered,
             record.done,
@@ -183,7 +185,7 @@
 
     def _choose_list_interval(self) -> float:
         """Return the present interval of listing the VMs, in seconds."""
-        if self._upkeep.is_busy or self._silence.has_overdue:
+        if self._maintenance.is_busy or self._silence.has_overdue:
             return timing.LIST_BUSY_INTERVAL_S
         if self._sizing.moving:
             return timing.LIST_BUSY_INTERVAL_S
@@ -212,8 +214,8 @@
                 for worker in self._book.lives.find(vm):
                     worker.ordered_away = False
                 # If the list does not show the move, it did not happen.
-                self._sizing.give_up(vm)
-        self._upkeep.held = frozenset(self._held)
+                self._sizing.forget_move(vm)
+        self._maintenance.held = frozenset(self._held)
 
     def _prune_orders(self, now: float) -> None:
         """Remove orders from the record that are older than the pause.
@@ -239,7 +241,7 @@
 
     def _add_waves(self) -> None:
         for wave in self._view.waves.values():
-            if self._upkeep.add_wave(wave, clocks.read_steady()):
+            if self._maintenance.add_wave(wave, clocks.read_steady()):
                 logs.write_event(
                     "wave.taken",
                     wave=wave.number,
@@ -254,7 +256,7 @@
         if isinstance(found, clients.Unavailable):
             logs.write_warning("vms.failed", call="list", reason=found.reason)
             return
-        self._upkeep.take_list(found, self._listed_at)
+        self._maintenance.take_list(found, self._listed_at)
 
     def _step(self, now: float) -> None:
         for worker in self._silence.check(now):
@@ -263,7 +265,7 @@
                 worker=worker,
                 reason="its VM is listed without it",
             )
-        for maintain in self._upkeep.decide(
+        for maintain in self._maintenance.decide(
             now,
             short=self._sizing.is_short,
             reserved=self._sizing.count_reserved(now),
@@ -279,13 +281,13 @@
     def _apply_closures(self) -> None:
         """Set which VMs are closed and why, in the book and its workers."""
         self._book.set_evacuated(self._view.evacuated)
-        later = self._upkeep.later()
+        later = self._maintenance.list_pending()
         closed = {
             vm: closures.Closure(reason=UNCERTAIN) for vm in self._uncertain
         }
         closed |= self._sizing.find_closures()
-        for vm in self._upkeep.leaving():
-            closed[vm] = closures.Closure(reason=upkeeps.CLOSED)
+        for vm in self._maintenance.list_leaving():
+            closed[vm] = closures.Closure(reason=maintenances.CLOSED)
         self._book.closures.set(closed)
         for worker in self._book.workers.values():
             self._book.closures.apply(worker)
@@ -392,7 +394,7 @@
         }
         return backlogs.Record(payload=msgspec.json.encode(self._moves))
 
-    def _maintain(self, order: upkeeps.MaintainVm) -> None:
+    def _maintain(self, order: maintenances.MaintainVm) -> None:
         """Order the maintenance of a VM, once that is committed."""
         self._record_waves()
         if self._moves.pop(order.vm, None):
@@ -414,9 +416,11 @@
             reason=getattr(outcome, "reason", ""),
         )
         if isinstance(outcome, clients.Ordered):
-            self._upkeep.note_ordered(order, now)
+            self._maintenance.note_ordered(order, now)
         else:
-            self._upkeep.note_refused(order, now, for_good=_is_final(outcome))
+            self._maintenance.note_refused(
+                order, now, for_good=_is_final(outcome)
+            )
 
     def _move(self, order: sizings.MoveVm) -> None:
         """Order the move of a VM to another pool, once that is committed."""
@@ -442,14 +446,14 @@
         if not isinstance(outcome, clients.Ordered):
             # A move that may still be carried out is kept until the hold ends.
             if order.vm not in self._held:
-                self._sizing.give_up(order.vm)
+                self._sizing.forget_move(order.vm)
 
     def _record_waves(self) -> None:
-        for number, state in self._upkeep.waves.items():
+        for number, state in self._maintenance.waves.items():
             self._record_wave(number, state)
             self._publish_status(number, state)
 
-    def _record_wave(self, number: int, state: upkeeps.WaveState) -> None:
+    def _record_wave(self, number: int, state: maintenances.WaveState) -> None:
         record = _Record(
             ordered=sorted(state.ordered), done=sorted(state.done)
         )
@@ -460,7 +464,9 @@
                 functools.partial(_make_wave_record, record, state.began),
             )
 
-    def _publish_status(self, number: int, state: upkeeps.WaveState) -> None:
+    def _publish_status(
+        self, number: int, state: maintenances.WaveState
+    ) -> None:
         status = "completed" if state.complete else "running"
         if state.published != status:
             state.published = status
--- a/src/rackvalve/scheduling/forecast.py
+++ b/src/rackvalve/scheduling/forecast.py
@@ -45,7 +45,7 @@
         self._largest = 0.0
         self._arrivals = 0
 
-    def note(self, demand: demands.Demand, now: float) -> None:
+    def add_sample(self, demand: demands.Demand, now: float) -> None:
         """Take a sample.
 
         :param demand: The demand now.
@@ -62,7 +62,7 @@
         """The newest sample, in VMs."""
         return self._samples[-1][1] if self._samples else 0.0
 
-    def expect(self, now: float, ahead: float = LEAD_S) -> float:
+    def predict(self, now: float, ahead: float = LEAD_S) -> float:
         """Return the demand to come when a VM ordered now is at work, in VMs.
 
         Only what goes beyond the scatter of jobs that come at random is a
--- a/src/rackvalve/scheduling/isolation.py
+++ b/src/rackvalve/scheduling/isolation.py
@@ -254,7 +254,7 @@
         return view.choose(
             group.step,
             task,
-            fleet.need_of(group.step),
+            fleet.get_resource_request(group.step),
             starters.count_used(state, group.repetition, group.number),
             now=now,
             state=state,
@@ -310,13 +310,13 @@
         tickets = self._starter.find_tickets(
             group.state, group.repetition, group.number
         )
-        need = fleet.need_of(group.step)
+        need = fleet.get_resource_request(group.step)
         able = [
             worker
             for worker in view.members
             if worker.identity not in view.reserved
             and not crashes.is_isolating(worker)
-            and placement.bears(worker, group.step, tickets)
+            and placement.could_fit(worker, group.step, tickets)
             and _count_fitting(worker, group.state, need, 1)
         ]
         # Stays with those that are being emptied for the job already.
@@ -351,7 +351,7 @@
 def _count_fitting(
     worker: workers.WorkerState,
     state: progress.JobState,
-    need: fleet.Room,
+    need: fleet.Resources,
     most: int,
 ) -> int:
     """Return how many tasks fit once what could crash a worker has ended."""
--- a/src/rackvalve/scheduling/upkeep.py
+++ b/src/rackvalve/scheduling/maintenance.py
@@ -27,18 +27,18 @@
 # margin.  A VM on which nothing runs is away for no longer.
 AWAY_S = 3.0
 # Aim to be done after this part of the time that the operator gives.
-AIM = 0.75
+PLANNED_PART = 0.75
 # Part of a pool that may be closed or away at once; and once the wave is late,
 # since a pool that lacks VMs gets others meanwhile.
 POOL_PART = 0.34
 LATE_PART = 0.67
 # Work that does not last is given this long to end by itself, in seconds.
-PATIENCE_S = 5.0
+GRACE_S = 5.0
 # A VM that is closed for longer than this goes back into use, in seconds: its
 # pool's work waits, and what keeps it (a lasting task whose step can spare
 # none, a wave whose VMs do not come back) may last.  Longer than work is given
 # to end (5 s), to be stopped (0.9 s), and a VM before it to be away (3 s).
-CLOSED_MOST_S = 10.0
+MAX_CLOSED_S = 10.0
 # Such a VM is not closed again for this long, in seconds: others go first.
 REOPENED_PAUSE_S = 5.0
 # An order that was refused is given again after this pause, in seconds.
@@ -113,7 +113,7 @@
         self.complete = False
         self.published = ""
 
-    def left(self) -> list[str]:
+    def list_remaining(self) -> list[str]:
         """Return the VMs that were not ordered yet, in the wave's order."""
         return [
             vm
@@ -122,7 +122,7 @@
         ]
 
 
-class Upkeep:
+class MaintenancePlanner:
     """Decides over all waves.
 
     :param book: The book whose workers are closed and vacated.
@@ -239,7 +239,7 @@
         else:
             state.not_before[order.vm] = now + REFUSED_PAUSE_S
 
-    def workers_on(self, vm: str) -> list[workers.WorkerState]:
+    def find_workers(self, vm: str) -> list[workers.WorkerState]:
         """Return the lives of workers that may be on a VM.
 
         The platform's list may be older than a worker's own entry, and the
@@ -265,13 +265,13 @@
         :return: Whether nothing is left on it.
         """
         empty = True
-        for worker in self.workers_on(vm):
+        for worker in self.find_workers(vm):
             worker.closing = reason
             left = eviction.vacate(self._book, worker, patience, now)
             empty = empty and left
         return empty
 
-    def leaving(self) -> set[str]:
+    def list_leaving(self) -> set[str]:
         """Return the VMs that are closed or away for a wave."""
         leaving: set[str] = set()
         for state in self.waves.values():
@@ -279,12 +279,12 @@
                 leaving |= state.closed | state.ordered.keys()
         return leaving
 
-    def later(self) -> set[str]:
+    def list_pending(self) -> set[str]:
         """Return the VMs that are still to be maintained."""
         later: set[str] = set()
         for state in self.waves.values():
             if not state.complete:
-                later.update(state.left())
+                later.update(state.list_remaining())
         return later
 
     def count_rotating(self, pool: str, now: float) -> int:
@@ -300,7 +300,9 @@
         for state in self.waves.values():
             if state.complete:
                 continue
-            left = sum(1 for vm in state.left() if self._is_in(vm, pool))
+            left = sum(
+                1 for vm in state.list_remaining() if self._is_in(vm, pool)
+            )
             # As many as it closes at all: four waves over all VMs at once
             # made a pool keep 6 idle VMs and want 30, while another one's
             # jobs stood for 9.7 s.
@@ -315,7 +317,7 @@
         }
         for vm, since in state.closed_since.items():
             waits = vm not in state.ordered and self._is_free(vm)
-            late = now - since > CLOSED_MOST_S or self._is_lost(vm)
+            late = now - since > MAX_CLOSED_S or self._is_lost(vm)
             if waits and late:
                 state.closed.discard(vm)
                 state.not_before[vm] = now + REOPENED_PAUSE_S
@@ -329,7 +331,7 @@
         will ask for meanwhile.  While pools are short, or soon will be, a
         wave waits that can still be in time.
         """
-        left = state.left()
+        left = state.list_remaining()
         wanted = self._count_wanted(state, len(left), now)
         most = state.wave.most_away + 1
         unused = self._count_unused()
@@ -347,7 +349,7 @@
         ]
         open_vms.sort(key=self._cost)
         spreads = measure_spreads(self._book)
-        late = now > state.began + AIM * state.wave.duration
+        late = now > state.began + PLANNED_PART * state.wave.duration
         part = LATE_PART if late else POOL_PART
         for vm in open_vms:
             busy = len(state.closed) + len(state.ordered.keys() - state.closed)
@@ -367,23 +369,24 @@
 
     def _count_rounds(self, state: WaveState, now: float) -> float:
         """Return how often the VMs of a round can still follow each other."""
-        time = state.began + AIM * state.wave.duration - now
+        time = state.began + PLANNED_PART * state.wave.duration - now
         return max(1.0, time / CYCLE_S)
 
     def _can_wait(self, state: WaveState, left: int, now: float) -> bool:
         """Return whether a wave that pauses now can still be in time.
 
-        Between rises its VMs are mostly empty and each round takes as long as
-        they are away; the last one is given time to vacate.  What goes beyond
-        that has the rest of the operator's time, which :data:`AIM` keeps.
+        Between bursts of demand its VMs are mostly empty and each round takes
+        as long as they are away; the last round is given time to vacate.
+        Anything beyond that has the rest of the operator's time, which
+        :data:`PLANNED_PART` keeps.
         """
-        time = state.began + AIM * state.wave.duration - now
+        time = state.began + PLANNED_PART * state.wave.duration - now
         rounds = math.ceil(left / max(1, state.wave.most_away))
         return time > (rounds - 1) * AWAY_S + CYCLE_S
 
     def _count_unused(self) -> int:
         """Return how many spare VMs could go to a pool now."""
-        leaving = self.leaving()
+        leaving = self.list_leaving()
         return sum(
             1
             for vm in self.vms.values()
@@ -415,7 +418,7 @@
     def _cost(self, vm: str) -> tuple[bool, int, int]:
         placed = [
             run
-            for worker in self.workers_on(vm)
+            for worker in self.find_workers(vm)
             for run in worker.runs.values()
         ]
         lasting = sum(1 for run in placed if run.step.lasting)
@@ -452,14 +455,14 @@
     def _choose(self, state: WaveState, now: float) -> list[MaintainVm]:
         chosen = []
         away = self._find_away(state)
-        for vm in state.left():
+        for vm in state.list_remaining():
             if len(away) >= state.wave.most_away:
                 break
             if vm not in state.closed or state.not_before.get(vm, 0.0) > now:
                 continue
             if not self._is_free(vm):
                 continue
-            if not self.vacate(vm, CLOSED, PATIENCE_S, now):
+            if not self.vacate(vm, CLOSED, GRACE_S, now):
                 continue
             state.ordered[vm] = None
             away.add(vm)
@@ -481,4 +484,4 @@
         return state.ordered.keys() | listed | (state.closed & self.held)
 
     def _finish(self, state: WaveState) -> None:
-        state.complete = not state.left() and not state.ordered
+        state.complete = not state.list_remaining() and not state.ordered
--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -267,7 +267,7 @@
         started = placed.run.confirmed_at
         if started is None or placed.run.inherited:
             return
-        self._book.speeds.note_done(placed, now - started)
+        self._book.speeds.record_duration(placed, now - started)
         queue = placed.state.queue
         mean = self._book.durations.get(queue)
         taken = now - started
@@ -370,4 +370,4 @@
         run.percent = row.percent
         run.percent_since = now
     run.load = row.load
-    speeds.sample(run, now)
+    speeds.update_rate(run, now)
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -17,7 +17,7 @@
 from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import forecast as forecasts
-from rackvalve.scheduling import upkeep as upkeeps
+from rackvalve.scheduling import maintenance as maintenances
 from rackvalve.scheduling import workers
 
 # Room beyond the demand: for uneven packing and work that comes meanwhile.
@@ -26,15 +26,15 @@
 # growing while VMs are on their way.
 GROWTH = 1.5
 # VMs beyond all this: the loss of one is made good without waiting for a move.
-RESERVE = 1
+RESERVE_VMS = 1
 # Least VMs of a pool.
-LEAST = 3
+MIN_POOL_VMS = 3
 # Work that does not last is let end on a VM that is only not needed.
-PATIENCE_S = float("inf")
+GRACE_S = float("inf")
 # A VM that has just come to a pool stays for this long, in seconds.  One that
 # came too late for a rise is soon free for the next pool: beside 3 s, 1.5 %
 # less of the VMs' seconds in pools and 5 % more moves (20 pairs of plays).
-STAY_S = 1.0
+MIN_STAY_S = 1.0
 SURPLUS = "surplus"
 
 
@@ -74,30 +74,30 @@
         self.rotating = 0
 
     @property
-    def lacks(self) -> int:
+    def shortage(self) -> int:
         """How many VMs the pool lacks."""
         return max(0, self.wanted - self.have)
 
     @property
-    def least(self) -> int:
+    def minimum(self) -> int:
         """How many VMs the pool keeps whatever its demand is."""
         if not self.spread:
-            return LEAST
+            return MIN_POOL_VMS
         # What leaves a VM needs a place that the others do not have.
-        return max(LEAST, self.spread + RESERVE + self.rotating)
+        return max(MIN_POOL_VMS, self.spread + RESERVE_VMS + self.rotating)
 
 
-class Sizing:
+class Sizer:
     """Decides over the sizes of all pools.
 
     :param book: The book.
-    :param upkeep: The waves, whose VMs are left alone.
+    :param maintenance: The waves, whose VMs are left alone.
     :param silence: Who is out of reach.
     """
 
     __slots__ = (
         "_book",
-        "_upkeep",
+        "_maintenance",
         "_silence",
         "pools",
         "moving",
@@ -107,19 +107,19 @@
     def __init__(
         self,
         book: books.Book,
-        upkeep: upkeeps.Upkeep,
+        maintenance: maintenances.MaintenancePlanner,
         silence: failure_detector.FailureDetector,
     ) -> None:
         self._book = book
-        self._upkeep = upkeep
+        self._maintenance = maintenance
         self._silence = silence
         self.pools: dict[str, PoolSize] = {}
         # New pools by VM, until the list shows the VM there.
         self.moving: dict[str, str] = {}
-        upkeep.moving = self.moving.keys()
+        maintenance.moving = self.moving.keys()
         self.arrived: dict[str, float] = {}
 
-    def leaving(self) -> set[str]:
+    def list_leaving(self) -> set[str]:
         """Return the VMs that are vacated to leave their pools."""
         return set().union(*(pool.leaving for pool in self.pools.values()))
 
@@ -129,12 +129,12 @@
         :param now: Present time, in seconds.
         """
         spare = self._find_spare_pool()
-        if spare is None or not self._upkeep.vms:
+        if spare is None or not self._maintenance.vms:
             return []
         self._settle(now)
         self._count(now)
         orders = self._grow_all(spare)
-        lacking = any(size.lacks for size in self.pools.values())
+        lacking = any(size.shortage for size in self.pools.values())
         for name, size in self.pools.items():
             self._shrink(name, size, now, lacking=lacking)
             orders.extend(self._vacate(size, spare, now))
@@ -143,10 +143,10 @@
     @property
     def is_short(self) -> bool:
         """Whether a pool still lacks VMs after all spare ones were given."""
-        return any(size.lacks for size in self.pools.values())
+        return any(size.shortage for size in self.pools.values())
 
     def count_reserved(self, now: float) -> int:
-        """Return how many VMs the pools will ask for during an upkeep.
+        """Return how many VMs the pools will ask for during maintenance.
 
         A VM that is closed now is missed until it is back; so is each one
         that a pool needs meanwhile and that a wave has taken before.
@@ -155,7 +155,7 @@
         """
         reserved = 0
         for size in self.pools.values():
-            expected = size.forecast.expect(now, upkeeps.AWAY_S)
+            expected = size.forecast.predict(now, maintenances.AWAY_S)
             reserved += max(0, math.ceil(expected * HEADROOM) - size.have)
         return reserved
 
@@ -166,10 +166,10 @@
         ends with it; one of the new pool shows that the VM has moved.
         """
         found = {
-            vm: closures.Closure(reason=SURPLUS, besides=pool)
+            vm: closures.Closure(reason=SURPLUS, open_to_pool=pool)
             for vm, pool in self.moving.items()
         }
-        for vm in self.leaving():
+        for vm in self.list_leaving():
             found[vm] = closures.Closure(reason=SURPLUS)
         return found
 
@@ -181,7 +181,7 @@
         """
         self.moving[vm] = pool
 
-    def give_up(self, vm: str) -> None:
+    def forget_move(self, vm: str) -> None:
         """Forget a move that the platform has not taken, or not in time.
 
         :param vm: The VM.
@@ -191,7 +191,7 @@
     def _begin(self, vm: str, pool: str) -> MoveVm:
         """Choose a move; from now on the VM's workers take no work."""
         self.moving[vm] = pool
-        for worker in self._upkeep.workers_on(vm):
+        for worker in self._maintenance.find_workers(vm):
             worker.closing = SURPLUS
         if pool in self.pools:
             self.pools[pool].have += 1
@@ -206,7 +206,7 @@
     def _settle(self, now: float) -> None:
         """Forget moves that the platform's list shows to be over."""
         for vm, pool in list(self.moving.items()):
-            listed = self._upkeep.vms.get(vm)
+            listed = self._maintenance.vms.get(vm)
             if listed is None or _has_arrived(listed, pool):
                 del self.moving[vm]
                 self.arrived[vm] = now
@@ -214,17 +214,17 @@
     def _count(self, now: float) -> None:
         """Count what each pool has and wants."""
         measured = demands.measure(self._book, now)
-        spreads = upkeeps.measure_spreads(self._book)
+        spreads = maintenances.measure_spreads(self._book)
         for name, pool in self._book.configuration.pools.items():
             if pool.spare:
                 self.pools.pop(name, None)
                 continue
             size = self.pools.setdefault(name, PoolSize())
-            size.forecast.note(measured.get(name, demands.NONE), now)
+            size.forecast.add_sample(measured.get(name, demands.NONE), now)
             size.spread = spreads.get(name, 0)
             size.rotating = 0
             if size.spread:
-                size.rotating = self._upkeep.count_rotating(name, now)
+                size.rotating = self._maintenance.count_rotating(name, now)
             size.have = self._count_have(name, size)
             size.wanted = _count_wanted(size, now)
         for name in self.pools.keys() - self._book.configuration.pools.keys():
@@ -235,11 +235,11 @@
 
         Those that a wave has closed take no work; others stand in for them.
         """
-        maintained = self._upkeep.leaving()
+        maintained = self._maintenance.list_leaving()
         coming = sum(1 for pool in self.moving.values() if pool == name)
         working = sum(
             1
-            for vm in self._upkeep.vms.values()
+            for vm in self._maintenance.vms.values()
             if vm.pool == name
             and vm.identity not in self.moving
             and vm.identity not in size.leaving
@@ -266,7 +266,7 @@
         """Give spare VMs to the pools that lack most, one at a time."""
         orders: list[MoveVm] = []
         for size in self.pools.values():
-            while size.lacks and size.leaving:
+            while size.shortage and size.leaving:
                 size.leaving.remove(min(size.leaving))
                 size.have += 1
         spares = self._list_spares(spare)
@@ -280,23 +280,25 @@
     def _find_most_lacking(self) -> str | None:
         """Return the pool that lacks most VMs, if one lacks any."""
         best = max(
-            self.pools, key=lambda name: self.pools[name].lacks, default=None
+            self.pools,
+            key=lambda name: self.pools[name].shortage,
+            default=None,
         )
-        if best is None or not self.pools[best].lacks:
+        if best is None or not self.pools[best].shortage:
             return None
         return best
 
     def _list_spares(self, spare: str) -> list[str]:
         """Return VMs that may come from the spare pool, best first."""
-        leaving = self._upkeep.leaving()
-        later = self._upkeep.later()
+        leaving = self._maintenance.list_leaving()
+        later = self._maintenance.list_pending()
         found = [
             vm.identity
-            for vm in self._upkeep.vms.values()
+            for vm in self._maintenance.vms.values()
             if vm.pool == spare
             and vm.identity not in self.moving
             and vm.identity not in leaving
-            and vm.identity not in self._upkeep.held
+            and vm.identity not in self._maintenance.held
             and vm.hall not in self._silence.silent_halls
             and vm.hall not in self._book.evacuated
         ]
@@ -320,11 +322,15 @@
         self, name: str, size: PoolSize, now: float
     ) -> list[str]:
         """Return the VMs that may leave a pool, the cheapest first."""
-        away = self._upkeep.leaving() | self.moving.keys() | size.leaving
-        away |= self._upkeep.held
-        later = self._upkeep.later()
+        away = (
+            self._maintenance.list_leaving()
+            | self.moving.keys()
+            | size.leaving
+        )
+        away |= self._maintenance.held
+        later = self._maintenance.list_pending()
         ranked: list[tuple[tuple[int, int, int], str]] = []
-        for vm in self._upkeep.vms.values():
+        for vm in self._maintenance.vms.values():
             worker = self._book.find_present(vm.worker)
             if vm.pool != name or not vm.up or vm.identity in away:
                 continue
@@ -335,7 +341,7 @@
             # It was not counted, and is of use again once the hall is.
             if vm.hall in self._book.evacuated:
                 continue
-            if now - self.arrived.get(vm.identity, float("-inf")) < STAY_S:
+            if now - self.arrived.get(vm.identity, float("-inf")) < MIN_STAY_S:
                 continue
             lasting, runs = _count_cost(worker)
             rank = (lasting, runs, int(vm.identity not in later))
@@ -350,9 +356,9 @@
         """
         orders = []
         for vm in sorted(size.leaving):
-            if vm not in self._upkeep.vms:
+            if vm not in self._maintenance.vms:
                 size.leaving.discard(vm)
-            elif self._upkeep.vacate(vm, SURPLUS, PATIENCE_S, now):
+            elif self._maintenance.vacate(vm, SURPLUS, GRACE_S, now):
                 size.leaving.discard(vm)
                 pool = self._find_most_lacking() or spare
                 orders.append(self._begin(vm, pool))
@@ -366,17 +372,17 @@
 
 def _count_wanted(size: PoolSize, now: float) -> int:
     """Return how many VMs a pool needs for what it has to do."""
-    wanted = math.ceil(size.forecast.newest * HEADROOM) + RESERVE
-    if size.forecast.newest > size.have - RESERVE:
-        wanted = math.ceil(size.forecast.newest * GROWTH) + RESERVE
-    wanted = max(wanted, math.ceil(size.forecast.expect(now)) + RESERVE)
-    return max(size.least, wanted)
+    wanted = math.ceil(size.forecast.newest * HEADROOM) + RESERVE_VMS
+    if size.forecast.newest > size.have - RESERVE_VMS:
+        wanted = math.ceil(size.forecast.newest * GROWTH) + RESERVE_VMS
+    wanted = max(wanted, math.ceil(size.forecast.predict(now)) + RESERVE_VMS)
+    return max(size.minimum, wanted)
 
 
 def _count_kept(size: PoolSize) -> int:
     """Return how many VMs a pool keeps, so that few move to and fro."""
     return max(
-        size.wanted, math.ceil(size.forecast.peak() * HEADROOM) + RESERVE
+        size.wanted, math.ceil(size.forecast.peak() * HEADROOM) + RESERVE_VMS
     )
 
 
--- a/src/rackvalve/scheduling/starter.py
+++ b/src/rackvalve/scheduling/starter.py
@@ -34,7 +34,7 @@
         :param asked: How many are to start.
         """
         workspace = self._book.find_workspace(state)
-        ask = fleet.ask_of(step)
+        ask = fleet.get_charge(step)
         return self._book.usage.count_allowed(workspace, ask, asked)
 
     def find_tickets(
@@ -46,7 +46,7 @@
         :param repetition: Number of the repetition.
         :param number: Number of the step.
         """
-        if self._book.queues[state.queue].advice is None:
+        if self._book.queues[state.queue].admission is None:
             return None
         return self.tickets.get(state.step_name(repetition, number), {})
 
