--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -1,9 +1,10 @@
-"""The jobs, workers and runs of one owner, and the changes to them.
+"""In-memory state of one owner: its jobs, workers and runs.
 
-The book keeps the promise that a task never runs twice at the same time: a
-run leaves it only when its end was reported, when its worker says under our
-fencing token that it is not there and cannot come, or when its worker's life
-or lease is over.
+The planner, the report handler and the manager read and change it.  A task
+never has two runs at the same time: a run is removed only when its end was
+reported, when its worker answers under this owner's fencing token that it
+does not have the run and cannot get it, or when the worker's incarnation or
+lease is over.
 """
 
 from __future__ import annotations
@@ -26,24 +27,24 @@
 from rackvalve.workspaces import rates
 from rackvalve.workspaces import usage
 
-# After these words a worker is avoided for a while (seconds): its own count
-# of its room is right again once what is being stopped has ended.
+# Backoff of a worker after it rejected a start, in seconds: its free room
+# agrees with the owner's count again once runs being stopped have ended.
 REJECTION_PAUSES_S = {
     messages.StartResult.NO_ROOM: 0.3,
     messages.StartResult.UNWELL: 2.0,
     messages.StartResult.NOT_SENT: 0.5,
     messages.StartResult.MALFORMED: 2.0,
 }
-# Pause before a task whose start was rejected is tried again, in seconds.
+# Delay before a task whose start was rejected is placed again, in seconds.
 REJECTED_DELAY_S = 0.02
 
 
 class Book:
-    """What one owner knows.
+    """State of the jobs, workers and runs of one owner.
 
     :param configuration: The operator's configuration.
-    :param inherited_lease: How long from now runs may go on that an earlier
-        owner started, in seconds.
+    :param inherited_lease: Longest time that runs started by an earlier owner
+        may go on from now, in seconds.
     :param now: Present time, in seconds.
     """
 
@@ -78,41 +79,39 @@
         now: float,
     ) -> None:
         self.configuration = configuration
-        # Halls on whose VMs nothing is started.
+        # Evacuated halls: no run is started on their VMs.
         self.evacuated: frozenset[str] = frozenset()
         self.closures = closures.Closures()
         self.queues = {queue.name: queue for queue in configuration.queues}
         self.jobs: dict[str, progress.JobState] = {}
-        # Those of them that have not ended: ended ones are kept for callers
-        # and must not cost time at each decision.
+        # Jobs not ended; ended ones, kept for callers, must not cost time.
         self.open_jobs: dict[str, progress.JobState] = {}
         self.workers: dict[str, workers.WorkerState] = {}
-        # The same workers by their names, which several lives may have.
+        # Workers by name, which several incarnations may share.
         self.names = index.Index()
-        # And by their VM and pool, once their entries have named them.
+        # Workers by VM and by pool, once their entries name these.
         self.lives = index.Index()
         self.members = index.Index()
-        # What is to be sent to workers, oldest first.
+        # Orders to send to workers, oldest first.
         self.orders: collections.deque[messages.Order] = collections.deque()
-        # Jobs of which a first task has begun and that were not told of yet.
+        # Jobs whose first task has begun and whose begin is not logged yet.
         self.begun: list[progress.JobState] = []
-        # Jobs whose record in the store is to be written, in order, and
-        # whether something waits for it.
+        # Jobs whose record must be written, and whether someone waits for it.
         self.changed: dict[str, bool] = {}
-        # When this owner took over, in seconds.
+        # Time when this owner took over, in seconds.
         self.began = now
         self._inherited_until = now + inherited_lease
-        # Mean time of a task that ended well, by queue, in seconds.
+        # Mean duration of a successful run by queue, in seconds.
         self.durations: dict[str, float] = {}
         self.speeds = speeds.Speeds()
-        # What each workspace may have running.
+        # Resources in use by each workspace, checked against its bound.
         self.usage = usage.Usage()
         self.crash_history = crash_history.CrashHistory()
-        # Which jobs were sent within the rates that workspaces have paid for.
+        # Tells which jobs came within the rate paid by their workspace.
         self._rates = rates.Rates()
 
     def set_configuration(self, configuration: queues.Configuration) -> None:
-        """Take a newer configuration.
+        """Replace the configuration.
 
         :param configuration: The configuration.
         """
@@ -120,9 +119,9 @@
         self.queues = {queue.name: queue for queue in configuration.queues}
 
     def set_evacuated(self, halls: frozenset[str]) -> None:
-        """Start nothing on the workers of some halls, and of no others.
+        """Set the halls on whose workers no run is started.
 
-        :param halls: Names of the halls.
+        :param halls: Names of the evacuated halls.
         """
         if halls != self.evacuated:
             self.evacuated = halls
@@ -132,7 +131,7 @@
     def add_job(
         self, state: progress.JobState, now: float, wall: float
     ) -> None:
-        """Take a job that was accepted, with what its record says.
+        """Add an accepted job with the state that its record holds.
 
         :param state: The job.
         :param now: Present time, in seconds.
@@ -158,7 +157,7 @@
         state.open_steps(wall)
 
     def cancel_job(self, identity: str, wall: float) -> None:
-        """End a job at its caller's wish and stop its runs.
+        """Cancel a job at its caller's request and stop its runs.
 
         :param identity: The job's identifier.
         :param wall: Present time, seconds since 1970.
@@ -178,12 +177,12 @@
         wall: float,
         reason: str,
     ) -> None:
-        """End a job and stop what still runs of it.
+        """End a job and stop its remaining runs.
 
         :param state: The job.
-        :param phase: Its last phase.
+        :param phase: Its final phase.
         :param wall: Present time, seconds since 1970.
-        :param reason: Why.
+        :param reason: Why it ended.
         """
         state.finish(phase, wall, reason)
         self.mark(state)
@@ -192,12 +191,12 @@
                 self.stop(state, task, run, reason)
 
     def set_entry(self, entry: fleet.Entry) -> workers.WorkerState:
-        """Take what a worker says of itself.
+        """Add or update a worker from its entry in the store.
 
         :param entry: Its newest entry.
         """
         life = lives.read_life(entry.identity)
-        # Without a birth it may be of whichever life the worker has now.
+        # An entry without a birth is of the worker's current incarnation.
         known = self.find_present(life.worker) if life.born is None else None
         worker = known or self.add_life(entry.identity)
         worker.set_entry(entry)
@@ -218,14 +217,14 @@
 
         :param name: Name of the worker.
         :param now: Present time, in seconds.
-        :param besides: The life that the entry is of, if there is one.
+        :param besides: Incarnation that still has an entry, if any.
         """
         for worker in self.names.find(name):
             if worker is not besides and worker.gone_since is None:
                 worker.gone_since = now
 
     def find_present(self, name: str) -> workers.WorkerState | None:
-        """Return the life that a worker has now, as far as is known.
+        """Return the newest known incarnation of a worker.
 
         :param name: Name of the worker.
         """
@@ -267,11 +266,11 @@
     def release(
         self, placed: workers.Placed, now: float, *, delay: float = 0.0
     ) -> None:
-        """Forget a run that is over and let its task wait again.
+        """Remove a run that is over and queue its task again.
 
         :param placed: The run.
         :param now: Present time, in seconds.
-        :param delay: Pause before the task's next run, in seconds.
+        :param delay: Delay before the task's next run, in seconds.
         """
         worker = self.workers.get(placed.run.worker)
         if worker is not None:
@@ -289,7 +288,7 @@
         run: progress.Run,
         reason: str,
     ) -> None:
-        """Order a run to be stopped, once.
+        """Order a run to be stopped; does nothing if that was done before.
 
         :param state: The job.
         :param task: The task.
@@ -300,7 +299,7 @@
             return
         run.stop_wanted = True
         if run.stage is progress.Stage.PLANNED:
-            # No worker has heard of it; the planner drops it.
+            # It was sent to no worker; `take_recorded` removes it.
             return
         run.stage = progress.Stage.STOPPING
         self.orders.append(
@@ -321,7 +320,7 @@
         """Order the runs of a job whose record is now in the store.
 
         :param identity: The job's identifier.
-        :param planned: The runs that the record names for the first time.
+        :param planned: The runs that the record contains for the first time.
         :param now: Present time, in seconds.
         """
         state = self.jobs.get(identity)
@@ -352,11 +351,11 @@
         uncertain: bool,
         now: float,
     ) -> None:
-        """Apply what became of an order to start a run.
+        """Apply the result of an order to start a run.
 
         :param placed: The run.
-        :param result: What the worker said last.
-        :param uncertain: Whether an earlier try of the order may still be
+        :param result: Result of the last attempt.
+        :param uncertain: Whether an earlier attempt of the order may still be
             carried out.
         :param now: Present time, in seconds.
         """
@@ -371,7 +370,7 @@
                 self.note_begun(placed.state)
             return
         if result is messages.StartResult.OUTDATED:
-            # The next report tells its end, or that it is not there.
+            # The next report lists its end, or does not list the run at all.
             run.confirmed_at = now
             return
         worker = self.workers.get(run.worker)
@@ -385,7 +384,7 @@
         self.release(placed, now, delay=REJECTED_DELAY_S)
 
     def note_begun(self, state: progress.JobState) -> None:
-        """Have it told that a job has begun.
+        """Queue the log line that a job has begun, and write its record.
 
         :param state: The job.
         """
@@ -395,8 +394,8 @@
     def take_stop(self, worker: str, key: workers.RunKey, now: float) -> None:
         """Note that a worker has taken the order to stop a run.
 
-        From then on the run cannot come any more; a report that is asked for
-        later lists its end, or does not list it at all.
+        The run can no longer be started there; a report requested later lists
+        its end, or does not list it at all.
 
         :param worker: Identity of the worker.
         :param key: Full name of the task and number of the run.
@@ -408,10 +407,10 @@
             placed.run.confirmed_at = now
 
     def remove_life(self, identity: str) -> workers.WorkerState | None:
-        """Take a life that is over out; its runs are still to be released.
+        """Remove an incarnation that is over; the caller releases its runs.
 
-        :param identity: The life.
-        :return: The life; ``None`` if it is not known.
+        :param identity: Identity of the incarnation.
+        :return: The incarnation; ``None`` if it is not known.
         """
         worker = self.workers.pop(identity, None)
         if worker is None:
@@ -423,10 +422,10 @@
         return worker
 
     def mark(self, state: progress.JobState, *, urgent: bool = False) -> None:
-        """Have a job's record written.
+        """Mark a job's record as to be written.
 
         :param state: The job.
-        :param urgent: Whether a worker or a caller waits for it.
+        :param urgent: Whether a worker or a caller waits for the write.
         """
         known = self.changed.get(state.identity, False)
         self.changed[state.identity] = known or urgent or state.is_final
@@ -440,16 +439,15 @@
         """Return a job's workspace.
 
         :param state: The job.
-        :return: The workspace; ``None`` for a job of none, or of one that
-            the configuration does not name any more: that job runs on
-            without a bound, since none is known.
+        :return: The workspace; ``None`` for a job without one, or if the
+            configuration no longer has it: the job runs on without a bound.
         """
         return self.configuration.workspaces.find(state.workspace)
 
     def _count_run(
         self, state: progress.JobState, task: progress.Task
     ) -> None:
-        """Count a run that may come against its workspace's bound."""
+        """Count a run against its workspace's bound, also before it starts."""
         ask = fleet.ask_of(state.step_of(task.name))
         self.usage.add(state.workspace, ask)
 
@@ -469,9 +467,9 @@
         self.release(placed or workers.Placed(state, task, run), now)
 
     def add_life(self, identity: str) -> workers.WorkerState:
-        """Return a life of a worker, which may have been unknown.
+        """Return an incarnation of a worker, added if it is not known.
 
-        :param identity: Its identity.
+        :param identity: Identity of the incarnation.
         """
         found = self.workers.get(identity)
         if found is None:
@@ -483,10 +481,10 @@
     def move_run(
         self, placed: workers.Placed, later: workers.WorkerState
     ) -> None:
-        """Take a run to be on a later life of its worker.
+        """Move a run to a later incarnation of its worker.
 
         :param placed: The run.
-        :param later: The life.
+        :param later: The later incarnation.
         """
         run = placed.run
         self.workers[run.worker].drop(placed)
@@ -495,6 +493,6 @@
         later.add(placed)
         self.mark(placed.state)
         if run.stop_wanted and run.stage is not progress.Stage.PLANNED:
-            # The life before was told to stop it.
+            # The order to stop it went to the earlier incarnation.
             run.stop_wanted = False
             self.stop(placed.state, placed.task, run, "it is to be stopped")
