--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -274,7 +274,9 @@
             return True
         return self.deliver_start(order, life, lose_answer)
 
-    def find_wanted(self, order: messages.StartRun) -> workers.Placed | None:
+    def find_wanted(
+        self, order: messages.StartRun
+    ) -> workers.PlacedRun | None:
         """Return the run of an order to start; ``None`` if it is over."""
         full = f"{order.job}.{order.task}"
         worker = self.book.workers.get(order.worker)
--- a/src/rackvalve/manager/contact.py
+++ b/src/rackvalve/manager/contact.py
@@ -300,7 +300,7 @@
         return shown + timing.WORKER_LEASE_S
 
     def _try_start(
-        self, placed: workers.Placed, until: float | None
+        self, placed: workers.PlacedRun, until: float | None
     ) -> clients.Outcome:
         if until is None:
             return connections.NoAnswer(reason="no lease to give", sent=False)
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -251,7 +251,7 @@
 
     def take_start(
         self,
-        placed: workers.Placed,
+        placed: workers.PlacedRun,
         result: messages.StartResult,
         uncertain: bool,
     ) -> None:
--- a/src/rackvalve/manager/protocols.py
+++ b/src/rackvalve/manager/protocols.py
@@ -81,7 +81,7 @@
 
     def take_start(
         self,
-        placed: workers.Placed,
+        placed: workers.PlacedRun,
         result: messages.StartResult,
         uncertain: bool,
     ) -> None:
--- a/src/rackvalve/scheduling/beginnings.py
+++ b/src/rackvalve/scheduling/beginnings.py
@@ -20,7 +20,7 @@
 _WORKED = frozenset({messages.Ending.DONE, messages.Ending.FAILED})
 
 
-def note_there(placed: workers.Placed) -> bool:
+def note_there(placed: workers.PlacedRun) -> bool:
     """Note that a worker has a run.
 
     :param placed: The run.
@@ -76,7 +76,7 @@
     return True
 
 
-def _is_complete(placed: workers.Placed) -> bool:
+def _is_complete(placed: workers.PlacedRun) -> bool:
     """Return whether all that must be there with a run is there.
 
     Tasks that start together begin once all of them are.
--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -152,7 +152,7 @@
             for run in task.runs.values():
                 worker = self.add_life(run.worker)
                 worker.location = worker.location or run.location
-                worker.add(workers.Placed(state, task, run))
+                worker.add(workers.PlacedRun(state, task, run))
                 self._count_run(state, task)
         state.open_steps(wall)
 
@@ -258,13 +258,13 @@
         )
         task.runs[number] = run
         state.waiting.pop(task.name, None)
-        worker.add(workers.Placed(state, task, run))
+        worker.add(workers.PlacedRun(state, task, run))
         self._count_run(state, task)
         self.mark(state, urgent=True)
         return run
 
     def release(
-        self, placed: workers.Placed, now: float, *, delay: float = 0.0
+        self, placed: workers.PlacedRun, now: float, *, delay: float = 0.0
     ) -> None:
         """Remove a run that is over and queue its task again.
 
@@ -345,7 +345,7 @@
 
     def take_start(
         self,
-        placed: workers.Placed,
+        placed: workers.PlacedRun,
         result: messages.StartResult,
         *,
         uncertain: bool,
@@ -464,7 +464,7 @@
             if worker is not None
             else None
         )
-        self.release(placed or workers.Placed(state, task, run), now)
+        self.release(placed or workers.PlacedRun(state, task, run), now)
 
     def add_life(self, identity: str) -> workers.WorkerState:
         """Return an incarnation of a worker, added if it is not known.
@@ -479,7 +479,7 @@
         return found
 
     def move_run(
-        self, placed: workers.Placed, later: workers.WorkerState
+        self, placed: workers.PlacedRun, later: workers.WorkerState
     ) -> None:
         """Move a run to a later incarnation of its worker.
 
--- a/src/rackvalve/scheduling/crashes.py
+++ b/src/rackvalve/scheduling/crashes.py
@@ -78,7 +78,7 @@
 
 
 def blame_all(
-    ended: Sequence[workers.Placed],
+    ended: Sequence[workers.PlacedRun],
     fate: releases.Fate,
     now: float,
     *,
@@ -108,7 +108,7 @@
             placed.task.prompt_crashes += is_prompt
 
 
-def blame(placed: workers.Placed, fate: releases.Fate, now: float) -> bool:
+def blame(placed: workers.PlacedRun, fate: releases.Fate, now: float) -> bool:
     """Count the end of a worker against a task that ran there.
 
     :param placed: The run.
@@ -134,8 +134,8 @@
 
 
 def _list_youngest(
-    ended: Iterable[workers.Placed],
-) -> list[workers.Placed]:
+    ended: Iterable[workers.PlacedRun],
+) -> list[workers.PlacedRun]:
     """Return the runs that started last on a worker, if these are few.
 
     Of the orders that it has not answered only the first may have met it.
@@ -163,7 +163,7 @@
 
 
 def _is_sole_suspect(
-    placed: workers.Placed, neighbours: Iterable[workers.Placed]
+    placed: workers.PlacedRun, neighbours: Iterable[workers.PlacedRun]
 ) -> bool:
     """Return whether no other job can have caused the crash of a worker.
 
@@ -223,7 +223,7 @@
 
 
 def clear(
-    worker: workers.WorkerState, placed: workers.Placed, asked: float
+    worker: workers.WorkerState, placed: workers.PlacedRun, asked: float
 ) -> bool:
     """Clear a task whose run has worked for long enough.
 
@@ -336,7 +336,7 @@
 
 def list_unsettled(
     worker: workers.WorkerState, state: progress.JobState | None
-) -> list[workers.Placed]:
+) -> list[workers.PlacedRun]:
     """Return the runs of other jobs that could cause a worker's next crash.
 
     :param worker: The worker.
@@ -349,7 +349,7 @@
     ]
 
 
-def _keeps_worker(placed: workers.Placed) -> bool:
+def _keeps_worker(placed: workers.PlacedRun) -> bool:
     """Return whether an isolated run still keeps its worker for itself."""
     task = placed.task
     if task.unexplained and task.crashes >= LAST_START_FROM:
@@ -358,7 +358,7 @@
     return _read_worked(placed.run) <= PROMPT_S
 
 
-def _is_settled(placed: workers.Placed) -> bool:
+def _is_settled(placed: workers.PlacedRun) -> bool:
     """Return whether a run is known to have been at work for long."""
     if placed.run.number == placed.task.isolated and _keeps_worker(placed):
         return False
--- a/src/rackvalve/scheduling/endings.py
+++ b/src/rackvalve/scheduling/endings.py
@@ -77,7 +77,7 @@
     return release_all(book, worker, proof, now=now, wall=wall)
 
 
-def _give_up(book: books.Book, placed: workers.Placed, wall: float) -> None:
+def _give_up(book: books.Book, placed: workers.PlacedRun, wall: float) -> None:
     """End a job if it has crashed workers that nothing else has crashed."""
     task, state = placed.task, placed.state
     if state.is_final or not crashes.is_given_up(state, task):
--- a/src/rackvalve/scheduling/eviction.py
+++ b/src/rackvalve/scheduling/eviction.py
@@ -43,7 +43,7 @@
     return False
 
 
-def may_evict(book: books.Book, placed: workers.Placed, now: float) -> bool:
+def may_evict(book: books.Book, placed: workers.PlacedRun, now: float) -> bool:
     """Return whether a lasting task may be stopped and started elsewhere.
 
     :param book: The book.
--- a/src/rackvalve/scheduling/hindrance.py
+++ b/src/rackvalve/scheduling/hindrance.py
@@ -225,7 +225,7 @@
             )
         return found
 
-    def is_at_work(self, placed: workers.Placed) -> bool:
+    def is_at_work(self, placed: workers.PlacedRun) -> bool:
         """Return whether a worker that answers has told of a run.
 
         :param placed: The run.
@@ -241,7 +241,7 @@
         self,
         state: progress.JobState,
         waiting: Collection[definition.TaskName],
-        runs: Sequence[workers.Placed],
+        runs: Sequence[workers.PlacedRun],
     ) -> Hindrance | None:
         """Find what keeps tasks of which nothing is at work.
 
@@ -269,14 +269,14 @@
             )
         return found
 
-    def _answers(self, placed: workers.Placed) -> bool:
+    def _answers(self, placed: workers.PlacedRun) -> bool:
         worker = self._book.workers.get(placed.run.worker)
         if worker is None or not worker.established:
             return False
         return self._now - worker.heard <= self._freshness
 
     def _find_start(
-        self, runs: Sequence[workers.Placed], pool: str
+        self, runs: Sequence[workers.PlacedRun], pool: str
     ) -> Hindrance | None:
         """Find a start that is under way."""
         planned = [
@@ -354,7 +354,7 @@
         return Cause.NOT_TOGETHER if step.gang else Cause.NOTHING
 
     def _find_proof(
-        self, runs: Sequence[workers.Placed], pool: str
+        self, runs: Sequence[workers.PlacedRun], pool: str
     ) -> Hindrance:
         """Tell whose word is awaited on runs that may still be there."""
         names = tuple({placed.run.worker: None for placed in runs})
--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -168,7 +168,7 @@
             self._place_copy(views[queue.pool], placed, now)
 
     def _place_copy(
-        self, view: placement.PoolView, placed: workers.Placed, now: float
+        self, view: placement.PoolView, placed: workers.PlacedRun, now: float
     ) -> None:
         state, task, step = placed.state, placed.task, placed.step
         if not self._starter.count_allowed(state, step, 1):
@@ -199,7 +199,9 @@
                 placed.state, placed.task, run, "its worker is slow"
             )
 
-    def _has_room_elsewhere(self, placed: workers.Placed, now: float) -> bool:
+    def _has_room_elsewhere(
+        self, placed: workers.PlacedRun, now: float
+    ) -> bool:
         """Return whether another worker could take a run's task now."""
         entry = self._book.workers[placed.run.worker].entry
         if entry is None:
@@ -211,7 +213,10 @@
         )
 
     def _check_run(
-        self, worker: workers.WorkerState, placed: workers.Placed, now: float
+        self,
+        worker: workers.WorkerState,
+        placed: workers.PlacedRun,
+        now: float,
     ) -> None:
         run = placed.run
         if run.stop_wanted:
@@ -229,7 +234,10 @@
         self._book.stop(placed.state, placed.task, run, reason)
 
     def _is_stalled(
-        self, worker: workers.WorkerState, placed: workers.Placed, now: float
+        self,
+        worker: workers.WorkerState,
+        placed: workers.PlacedRun,
+        now: float,
     ) -> bool:
         run = placed.run
         fresh = now - worker.answered <= self._limits.freshness
@@ -242,7 +250,7 @@
         since = max(run.percent_since, run.confirmed_at)
         return now - since > STALL_S
 
-    def _is_late(self, placed: workers.Placed, now: float) -> bool:
+    def _is_late(self, placed: workers.PlacedRun, now: float) -> bool:
         """Return whether a lasting task is better started elsewhere."""
         run = placed.run
         waited = now - run.percent_since
@@ -255,7 +263,10 @@
         return eviction.may_evict(self._book, placed, now)
 
     def _must_leave(
-        self, worker: workers.WorkerState, placed: workers.Placed, now: float
+        self,
+        worker: workers.WorkerState,
+        placed: workers.PlacedRun,
+        now: float,
     ) -> bool:
         """Return whether a run is better moved off a worker that will end."""
         if not placed.step.lasting:
@@ -412,7 +423,7 @@
         return (float(queue.priority), grade, state.arrived + objective)
 
 
-def _may_copy(placed: workers.Placed) -> bool:
+def _may_copy(placed: workers.PlacedRun) -> bool:
     """Return whether a second run of a task may start beside this one."""
     step, task = placed.step, placed.task
     if not step.copies_allowed or step.gang or step.lasting:
--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -180,7 +180,7 @@
         worker: workers.WorkerState,
         state: progress.JobState,
         task: progress.Task,
-        placed: workers.Placed | None,
+        placed: workers.PlacedRun | None,
         number: int,
         now: float,
         wall: float,
@@ -228,7 +228,7 @@
     def _take_cut(
         self,
         worker: workers.WorkerState,
-        placed: workers.Placed,
+        placed: workers.PlacedRun,
         ending: messages.Ending,
         now: float,
         wall: float,
@@ -260,7 +260,10 @@
             )
 
     def _note_success(
-        self, worker: workers.WorkerState, placed: workers.Placed, now: float
+        self,
+        worker: workers.WorkerState,
+        placed: workers.PlacedRun,
+        now: float,
     ) -> None:
         worker.failures = 0
         worker.suspect_until = 0.0
@@ -277,7 +280,10 @@
         self._book.durations[queue] = mean + DURATION_WEIGHT * (taken - mean)
 
     def _note_failure(
-        self, worker: workers.WorkerState, placed: workers.Placed, now: float
+        self,
+        worker: workers.WorkerState,
+        placed: workers.PlacedRun,
+        now: float,
     ) -> None:
         placed.task.failures += 1
         if placed.step.lasting:
@@ -289,7 +295,7 @@
     def _take_absence(
         self,
         worker: workers.WorkerState,
-        placed: workers.Placed,
+        placed: workers.PlacedRun,
         sent: float,
         now: float,
     ) -> None:
@@ -349,7 +355,7 @@
 
 
 def _update_run(
-    placed: workers.Placed,
+    placed: workers.PlacedRun,
     row: messages.RunningRow,
     sent: float,
     now: float,
--- a/src/rackvalve/scheduling/speeds.py
+++ b/src/rackvalve/scheduling/speeds.py
@@ -83,7 +83,7 @@
         # Times of ended tasks with their workers, in seconds, by job.
         self._done: dict[str, dict[StepKey, list[tuple[str, float]]]] = {}
 
-    def note_done(self, placed: workers.Placed, taken: float) -> None:
+    def note_done(self, placed: workers.PlacedRun, taken: float) -> None:
         """Note how long a task has taken.
 
         :param placed: Its run.
@@ -101,7 +101,7 @@
         """
         self._done.pop(state.identity, None)
 
-    def expect(self, placed: workers.Placed) -> float | None:
+    def expect(self, placed: workers.PlacedRun) -> float | None:
         """Return how long a run's task takes on other workers, in seconds.
 
         :param placed: The run.
@@ -164,7 +164,7 @@
         return ratios
 
 
-def is_comparable(placed: workers.Placed) -> bool:
+def is_comparable(placed: workers.PlacedRun) -> bool:
     """Return whether a run's speed tells of its worker.
 
     A task that was moved before, for whatever reason, may be slow by itself.
@@ -182,6 +182,6 @@
     )
 
 
-def _key_of(placed: workers.Placed) -> StepKey:
+def _key_of(placed: workers.PlacedRun) -> StepKey:
     name = placed.task.name
     return name.repetition, name.step
--- a/src/rackvalve/scheduling/standing.py
+++ b/src/rackvalve/scheduling/standing.py
@@ -46,7 +46,7 @@
     state: progress.JobState
     task: str
     waiting: Collection[definition.TaskName]
-    runs: Sequence[workers.Placed]
+    runs: Sequence[workers.PlacedRun]
 
     @property
     def name(self) -> str:
@@ -228,10 +228,10 @@
 
     def _sort_runs(
         self, judge: hindrances.Judge
-    ) -> tuple[set[str], dict[str, list[workers.Placed]]]:
+    ) -> tuple[set[str], dict[str, list[workers.PlacedRun]]]:
         """Return jobs with something at work, and other runs by job."""
         at_work: set[str] = set()
-        idle: dict[str, list[workers.Placed]] = {}
+        idle: dict[str, list[workers.PlacedRun]] = {}
         for worker in self._book.workers.values():
             for placed in worker.runs.values():
                 if judge.is_at_work(placed):
@@ -296,7 +296,7 @@
 
 
 def _find_parts(
-    state: progress.JobState, runs: list[workers.Placed], at_work: bool
+    state: progress.JobState, runs: list[workers.PlacedRun], at_work: bool
 ) -> Iterator[_Part]:
     """Find the parts of a job of which nothing is at work."""
     if not any(step.lasting for step in state.job.steps):
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -15,7 +15,7 @@
 RunKey = tuple[str, int]
 
 
-class Placed:
+class PlacedRun:
     """A run together with its task and job.
 
     :param state: The job.
@@ -94,9 +94,9 @@
         # Where it can be asked, by its entry or else by a job's record.
         self.location = entry.location if entry is not None else None
         self.free = entry.capacity if entry is not None else fleet.EMPTY
-        self.runs: dict[RunKey, Placed] = {}
+        self.runs: dict[RunKey, PlacedRun] = {}
         # Those of them under whose tasks workers have crashed.
-        self.suspects: dict[RunKey, Placed] = {}
+        self.suspects: dict[RunKey, PlacedRun] = {}
         # Whether it has taken our fencing token and told what runs.
         self.established = False
         # No earlier than this did it begin, in seconds.
@@ -143,7 +143,7 @@
         self.location = entry.location
         self.gone_since = None
 
-    def add(self, placed: Placed) -> None:
+    def add(self, placed: PlacedRun) -> None:
         """Count a run against the room.
 
         :param placed: The run.
@@ -154,7 +154,7 @@
             self.suspects[key] = placed
         self.free = self.free.minus(placed.need)
 
-    def drop(self, placed: Placed) -> None:
+    def drop(self, placed: PlacedRun) -> None:
         """Give a run's room back.
 
         :param placed: The run.
