--- a/features/steps/standing_steps.py
+++ b/features/steps/standing_steps.py
@@ -107,7 +107,7 @@
     "the workers fall silent": silence_all,
     "the workers were never heard": change_workers(established=False),
     "the workers drain": drain,
-    "the entries are gone": change_workers(gone_since=0.0),
+    "the entries are gone": change_workers(entry_missing_since=0.0),
     "the workers are over": end_workers,
     "its workspace is at a bound": bound_workspace,
     "the workers are half full": change_workers(free=HALF),
--- a/src/rackvalve/manager/roster.py
+++ b/src/rackvalve/manager/roster.py
@@ -179,8 +179,8 @@
             if worker.runs or not worker.is_over(now):
                 continue
             is_missing = (
-                worker.gone_since is not None
-                and now - worker.gone_since > timing.ENTRY_GRACE_S
+                worker.entry_missing_since is not None
+                and now - worker.entry_missing_since > timing.ENTRY_GRACE_S
                 and now - worker.answered > timing.ENTRY_GRACE_S
             )
             if worker.entry is None or worker.replaced or is_missing:
@@ -199,8 +199,8 @@
                 continue
             if identity in self._contacts:
                 continue
-            if worker.gone_since is None:
-                worker.gone_since = now
+            if worker.entry_missing_since is None:
+                worker.entry_missing_since = now
             logs.write_event(
                 "worker.recorded",
                 worker=identity,
--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -220,8 +220,8 @@
         :param besides: Incarnation that still has an entry, if any.
         """
         for worker in self.names.find(name):
-            if worker is not besides and worker.gone_since is None:
-                worker.gone_since = now
+            if worker is not besides and worker.entry_missing_since is None:
+                worker.entry_missing_since = now
 
     def find_present(self, name: str) -> workers.WorkerState | None:
         """Return the newest known incarnation of a worker.
--- a/src/rackvalve/scheduling/hindrance.py
+++ b/src/rackvalve/scheduling/hindrance.py
@@ -93,7 +93,7 @@
     :param now: Present time, in seconds.
     :param freshness: Longest time since its last answer, in seconds.
     """
-    if worker.entry is None or worker.gone_since is not None:
+    if worker.entry is None or worker.entry_missing_since is not None:
         return Availability.NO_ENTRY
     if not worker.established:
         return Availability.UNASKED
--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -273,10 +273,10 @@
             return False
         if worker.entry is not None and worker.entry.draining:
             return True
-        if worker.gone_since is None:
+        if worker.entry_missing_since is None:
             return False
         # It serves on, but will end as one does that said so.
-        missing = now - worker.gone_since > self._limits.entry_grace
+        missing = now - worker.entry_missing_since > self._limits.entry_grace
         return missing and eviction.may_evict(self._book, placed, now)
 
     def list_members(self, pool: str, now: float) -> list[workers.WorkerState]:
--- a/src/rackvalve/scheduling/releases.py
+++ b/src/rackvalve/scheduling/releases.py
@@ -108,7 +108,7 @@
         return Fate.ORDERED_AWAY
     if proof == LEASE_OVER:
         return Fate.OUT_OF_REACH
-    gone = worker.gone_since
+    gone = worker.entry_missing_since
     served_on = gone is not None and worker.answered > gone
     said_so = worker.entry is not None and worker.entry.draining
     return Fate.LEFT if said_so or served_on else Fate.CRASHED
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -71,7 +71,7 @@
         "lease_over",
         "handled",
         "unrecorded",
-        "gone_since",
+        "entry_missing_since",
         "suspect_until",
         "failures",
         "closing",
@@ -113,7 +113,7 @@
         # what they changed; ``None`` until that write is marked.
         self.unrecorded: list[tuple[int, int | None]] = []
         # Since when its entry is missing in the store.
-        self.gone_since: float | None = None
+        self.entry_missing_since: float | None = None
         self.suspect_until = 0.0
         # Failed runs since the last good one.
         self.failures = 0
@@ -141,7 +141,7 @@
         self.free = self.free.plus(entry.capacity).minus(known)
         self.entry = entry
         self.location = entry.location
-        self.gone_since = None
+        self.entry_missing_since = None
 
     def add(self, placed: PlacedRun) -> None:
         """Count a run against the room.
@@ -226,7 +226,7 @@
             and not self.evacuated
             and self.established
             and now - self.heard <= freshness
-            and self.gone_since is None
+            and self.entry_missing_since is None
             and not self.replaced
         )
 
