--- a/src/rackvalve/manager/caretaker.py
+++ b/src/rackvalve/manager/caretaker.py
@@ -282,7 +282,7 @@
         for worker in self._book.workers.values():
             self._book.closures.apply(worker)
             vm = worker.entry.vm if worker.entry is not None else ""
-            worker.leaves_later = vm in later
+            worker.maintenance_pending = vm in later
 
     def _log_sizes(self, now: float) -> None:
         if now - self._sizes_logged < timing.SIZES_LOG_INTERVAL_S:
--- a/src/rackvalve/scheduling/placement.py
+++ b/src/rackvalve/scheduling/placement.py
@@ -207,7 +207,7 @@
     )
     crowd = float(used[worker.identity]) if step.lasting else 0.0
     # A lasting task would have to move once more.
-    leaves = float(step.lasting and worker.leaves_later)
+    leaves = float(step.lasting and worker.maintenance_pending)
     neighbours = _count_unfit_neighbours(worker, step)
     strangers = float(crashes.count_strangers(worker, state, task))
     return (
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -76,7 +76,7 @@
         "failures",
         "closing",
         "evacuated",
-        "leaves_later",
+        "maintenance_pending",
         "ordered_away",
         "slowness",
         "slow_until",
@@ -122,7 +122,7 @@
         # Whether nothing more is to be sent to its hall.
         self.evacuated = False
         # Whether its VM is still to be maintained.
-        self.leaves_later = False
+        self.maintenance_pending = False
         # Whether its VM was, or may have been, told to move or to be
         # maintained while it lived there.
         self.ordered_away = False
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -278,7 +278,7 @@
                 worker.closing = upkeeps.CLOSED
             elif vm in surplus or worker.identity in departing:
                 worker.closing = sizings.SURPLUS
-            worker.leaves_later = vm in later
+            worker.maintenance_pending = vm in later
 
     # -- VMs and workers ---------------------------------------------------
 
