--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -172,7 +172,7 @@
     bench = context.bench = benches.Bench([EARLIER])
     worker = bench.book.workers[EARLIER]
     worker.closing = "it is closed"
-    worker.suspect_until = bench.now + 100.0
+    worker.backoff_until = bench.now + 100.0
     worker.failures = 5
     worker.slowness = 4.0
     worker.ordered_away = True
@@ -192,7 +192,7 @@
     other = benches.Bench([LATER]).book.workers[LATER]
     for field in (
         "closing",
-        "suspect_until",
+        "backoff_until",
         "failures",
         "slowness",
         "ordered_away",
--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -376,7 +376,7 @@
         worker = self.workers.get(run.worker)
         if worker is not None:
             pause = REJECTION_PAUSES_S.get(result, 0.0)
-            worker.suspect_until = max(worker.suspect_until, now + pause)
+            worker.backoff_until = max(worker.backoff_until, now + pause)
         placed.task.avoid.add(run.worker)
         if uncertain:
             self.stop(placed.state, placed.task, run, result.value)
--- a/src/rackvalve/scheduling/placement.py
+++ b/src/rackvalve/scheduling/placement.py
@@ -198,7 +198,7 @@
     """Rate a worker for a task; less is better."""
     entry = worker.entry
     assert entry is not None
-    suspect = worker.suspect_until > now
+    suspect = worker.backoff_until > now
     away_from_data = bool(step.data_rack) and entry.rack != step.data_rack
     capacity = entry.capacity
     load = 1 - min(
--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -225,7 +225,7 @@
             reason = "its job has ended"
         elif self._is_stalled(worker, placed, now):
             placed.task.avoid.add(worker.identity)
-            worker.suspect_until = max(worker.suspect_until, now + STALL_S)
+            worker.backoff_until = max(worker.backoff_until, now + STALL_S)
             reason = "it makes no progress"
         elif self._must_leave(worker, placed, now):
             reason = "its worker leaves"
--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -266,7 +266,7 @@
         now: float,
     ) -> None:
         worker.failures = 0
-        worker.suspect_until = 0.0
+        worker.backoff_until = 0.0
         started = placed.run.confirmed_at
         if started is None or placed.run.inherited:
             return
@@ -290,7 +290,7 @@
             return
         worker.failures += 1
         pause = SUSPECT_FIRST_S * 2 ** (worker.failures - 1)
-        worker.suspect_until = now + min(SUSPECT_MOST_S, pause)
+        worker.backoff_until = now + min(SUSPECT_MOST_S, pause)
 
     def _take_absence(
         self,
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -72,7 +72,7 @@
         "handled",
         "unrecorded",
         "entry_missing_since",
-        "suspect_until",
+        "backoff_until",
         "failures",
         "closing",
         "evacuated",
@@ -114,7 +114,7 @@
         self.unrecorded: list[tuple[int, int | None]] = []
         # Since when its entry is missing in the store.
         self.entry_missing_since: float | None = None
-        self.suspect_until = 0.0
+        self.backoff_until = 0.0
         # Failed runs since the last good one.
         self.failures = 0
         # Why it takes no more work, empty while it does.
