--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -239,7 +239,7 @@
     worker = bench.book.workers["w1"]
     bench.now += 1.0
     if how == "is out of reach until its lease is over":
-        bench.now = worker.lease_over
+        bench.now = worker.lease_expiry
         bench.planner.stop_and_release(bench.now, bench.now)
         return
     if how == "is lost with its VM":
--- a/features/steps/job_steps.py
+++ b/features/steps/job_steps.py
@@ -195,7 +195,7 @@
     (context.order,) = context.bench.start_all()
     bench = context.bench
     silent = bench.book.workers[context.order.worker]
-    silent.lease_over = 0.0
+    silent.lease_expiry = 0.0
     silent.note_extension(bench.now, timing.WORKER_LEASE_S)
     context.silent_since = bench.now
     context.restarted = None
@@ -276,7 +276,7 @@
     (context.order,) = context.bench.start_all()
     worker = context.bench.book.workers[context.order.worker]
     worker.established = False
-    worker.lease_over = context.bench.now + 100.0
+    worker.lease_expiry = context.bench.now + 100.0
     context.bench.report(worker.identity, context.bench.rows(worker.identity))
     context.worker = worker
 
--- a/features/steps/late_start_steps.py
+++ b/features/steps/late_start_steps.py
@@ -200,7 +200,7 @@
     worker = workers.WorkerState("w1", None, 0.0)
     worker.note_extension(context.now, timing.WORKER_LEASE_S)
     until = context.clock.read(context.now) + timing.WORKER_LEASE_S
-    assert until / models.SLOWEST <= worker.lease_over
+    assert until / models.SLOWEST <= worker.lease_expiry
 
 
 @behave.given("a worker whose answer waited {seconds:g} s for its owner")
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -254,8 +254,8 @@
 @behave.then("its life is {proved}")
 def check_proved(context, proved):
     worker = context.bench.book.workers[LATER]
-    is_over = worker.lease_over == float("-inf")
-    assert is_over == (proved == "proved over"), worker.lease_over
+    is_over = worker.lease_expiry == float("-inf")
+    assert is_over == (proved == "proved over"), worker.lease_expiry
 
 
 @behave.given("an entry and a list whose birth is {told}")
--- a/src/rackvalve/scheduling/hindrance.py
+++ b/src/rackvalve/scheduling/hindrance.py
@@ -363,7 +363,9 @@
             for name in names
             if name in self._book.workers
         ]
-        first = min(found, key=lambda worker: worker.lease_over, default=None)
+        first = min(
+            found, key=lambda worker: worker.lease_expiry, default=None
+        )
         if first is None:
             return Hindrance(
                 cause=Cause.NO_PROOF,
@@ -377,7 +379,7 @@
             since=max(self._book.began, answered),
             pool=pool,
             workers=names,
-            proof_in=max(0.0, first.lease_over - self._now),
+            proof_in=max(0.0, first.lease_expiry - self._now),
             awaited=Awaited.LEASE if first.location is None else Awaited.ANY,
         )
 
--- a/src/rackvalve/scheduling/releases.py
+++ b/src/rackvalve/scheduling/releases.py
@@ -95,7 +95,7 @@
 
     :param worker: The worker.
     """
-    return LISTED_OFF if worker.lease_over == float("-inf") else LEASE_OVER
+    return LISTED_OFF if worker.lease_expiry == float("-inf") else LEASE_OVER
 
 
 def judge_fate(worker: workers.WorkerState, proof: str) -> Fate:
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -50,7 +50,7 @@
     :param identity: Identity of the life.
     :param entry: What it says of itself; ``None`` if only a job's record
         names it.
-    :param lease_over: When all that an earlier owner may have let run there
+    :param lease_expiry: When all that an earlier owner may have let run there
         is over, on our steady clock.
     """
 
@@ -68,7 +68,7 @@
         "settled",
         "heard",
         "answered",
-        "lease_over",
+        "lease_expiry",
         "handled",
         "unrecorded",
         "entry_missing_since",
@@ -84,7 +84,7 @@
     )
 
     def __init__(
-        self, identity: str, entry: fleet.Entry | None, lease_over: float
+        self, identity: str, entry: fleet.Entry | None, lease_expiry: float
     ) -> None:
         self.identity = identity
         self.life = lives.read_life(identity)
@@ -106,7 +106,7 @@
         # When its last answer to a hold came, and the time that it tells of.
         self.heard = float("-inf")
         self.answered = float("-inf")
-        self.lease_over = lease_over
+        self.lease_expiry = lease_expiry
         # Number of the last end that was handled.
         self.handled = 0
         # Ends handled and not yet in the store, with the write that will hold
@@ -171,7 +171,7 @@
         :param length: What the call asks for, in seconds.
         """
         over = now + length * (1 + CLOCK_TOLERANCE) + LEASE_MARGIN_S
-        self.lease_over = max(self.lease_over, over)
+        self.lease_expiry = max(self.lease_expiry, over)
 
     def note_established(
         self, now: float, length: float, settling: float
@@ -188,7 +188,7 @@
         """
         self.established = True
         self.settled = now + settling
-        self.lease_over = float("-inf")
+        self.lease_expiry = float("-inf")
         self.note_extension(now, length)
 
     def note_lost(self) -> None:
@@ -196,7 +196,7 @@
 
         It gets no work from then on, however short ago its last answer was.
         """
-        self.lease_over = float("-inf")
+        self.lease_expiry = float("-inf")
         self.heard = float("-inf")
 
     def is_over(self, now: float) -> bool:
@@ -204,7 +204,7 @@
 
         :param now: Present time, in seconds.
         """
-        return now >= self.lease_over
+        return now >= self.lease_expiry
 
     def set_evacuated(self, halls: frozenset[str]) -> None:
         """Take no work if its hall is among those that are evacuated.
