--- a/features/steps/job_steps.py
+++ b/features/steps/job_steps.py
@@ -285,8 +285,8 @@
 def check_one_lease(context):
     now = context.bench.now
     lease = timing.WORKER_LEASE_S
-    assert not context.worker.is_over(now + lease / models.SLOWEST)
-    assert context.worker.is_over(now + 2 * lease)
+    assert not context.worker.is_expired(now + lease / models.SLOWEST)
+    assert context.worker.is_expired(now + 2 * lease)
 
 
 @behave.given("a lasting job of {count:d} tasks of which {most:d} may be away")
--- a/src/rackvalve/manager/roster.py
+++ b/src/rackvalve/manager/roster.py
@@ -176,7 +176,7 @@
         :param now: Present time, in seconds.
         """
         for identity, worker in list(self._book.workers.items()):
-            if worker.runs or not worker.is_over(now):
+            if worker.runs or not worker.is_expired(now):
                 continue
             is_missing = (
                 worker.entry_missing_since is not None
--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -130,7 +130,7 @@
         """
         released: list[releases.Release] = []
         for worker in list(self._book.workers.values()):
-            if worker.runs and worker.is_over(now):
+            if worker.runs and worker.is_expired(now):
                 over = endings.release_over(self._book, worker, now, wall)
                 released.append(over)
                 continue
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -199,7 +199,7 @@
         self.lease_expiry = float("-inf")
         self.heard = float("-inf")
 
-    def is_over(self, now: float) -> bool:
+    def is_expired(self, now: float) -> bool:
         """Return whether all leases given so far are over.
 
         :param now: Present time, in seconds.
