--- a/src/rackvalve/scheduling/hindrance.py
+++ b/src/rackvalve/scheduling/hindrance.py
@@ -97,7 +97,7 @@
         return Availability.NO_ENTRY
     if not worker.established:
         return Availability.UNASKED
-    if now - worker.heard > freshness:
+    if now - worker.last_answer_at > freshness:
         return Availability.SILENT
     if worker.entry.draining:
         return Availability.DRAINING
@@ -273,7 +273,7 @@
         worker = self._book.workers.get(placed.run.worker)
         if worker is None or not worker.established:
             return False
-        return self._now - worker.heard <= self._freshness
+        return self._now - worker.last_answer_at <= self._freshness
 
     def _find_start(
         self, runs: Sequence[workers.PlacedRun], pool: str
@@ -373,7 +373,7 @@
                 pool=pool,
                 workers=names,
             )
-        answered = min(worker.heard for worker in found)
+        answered = min(worker.last_answer_at for worker in found)
         return Hindrance(
             cause=Cause.NO_PROOF,
             since=max(self._book.began, answered),
--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -103,7 +103,7 @@
         :param wall: Present time, seconds since 1970.
         """
         # One that is late by more has waited while this process stood still.
-        worker.heard = min(now, report.sent + self._hold_most)
+        worker.last_answer_at = min(now, report.sent + self._hold_most)
         # After a pause of this process the answer tells of a time before it.
         worker.answered = min(now, report.sent + self._hold_wait)
         self.released += succession.take_over(
--- a/src/rackvalve/scheduling/silence.py
+++ b/src/rackvalve/scheduling/silence.py
@@ -112,7 +112,7 @@
 
     def _last_heard(self, worker: workers.WorkerState) -> float:
         """Return when a worker has answered last, or was first seen."""
-        return max(worker.heard, self._since[worker.identity])
+        return max(worker.last_answer_at, self._since[worker.identity])
 
     def _last_sign(self, worker: workers.WorkerState) -> float:
         """Return the last time that an answer, or its entry, tells of."""
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -66,7 +66,7 @@
         "established",
         "began",
         "settled",
-        "heard",
+        "last_answer_at",
         "answered",
         "lease_expiry",
         "handled",
@@ -104,7 +104,7 @@
         # When all stops of earlier owners have ended.
         self.settled = float("inf")
         # When its last answer to a hold came, and the time that it tells of.
-        self.heard = float("-inf")
+        self.last_answer_at = float("-inf")
         self.answered = float("-inf")
         self.lease_expiry = lease_expiry
         # Number of the last end that was handled.
@@ -197,7 +197,7 @@
         It gets no work from then on, however short ago its last answer was.
         """
         self.lease_expiry = float("-inf")
-        self.heard = float("-inf")
+        self.last_answer_at = float("-inf")
 
     def is_expired(self, now: float) -> bool:
         """Return whether all leases given so far are over.
@@ -225,7 +225,7 @@
             and not self.closing
             and not self.evacuated
             and self.established
-            and now - self.heard <= freshness
+            and now - self.last_answer_at <= freshness
             and self.entry_missing_since is None
             and not self.replaced
         )
