--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -212,7 +212,7 @@
                     self.raise_token(later)
             return
         until = None
-        fresh = self.world.now - worker.answered < 1.0
+        fresh = self.world.now - worker.last_alive_at < 1.0
         extend = self.world.now - self.heard <= timing.EXTENSION_LIMIT_S
         if fresh and extend:
             until = self.lease_until(identity)
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -51,7 +51,7 @@
     write_entry(context)
     worker = context.book.workers["w1"]
     worker.established = True
-    worker.last_answer_at = worker.answered = NOW
+    worker.last_answer_at = worker.last_alive_at = NOW
 
 
 def write_entry(context, payload=None):
--- a/features/steps/job_steps.py
+++ b/features/steps/job_steps.py
@@ -310,7 +310,7 @@
         placed = context.bench.placed(order)
         if cause == "silent":
             worker = context.bench.book.workers[order.worker]
-            worker.answered = context.bench.now - eviction.SILENCE_S - 0.1
+            worker.last_alive_at = context.bench.now - eviction.SILENCE_S - 0.1
         elif cause == "stopping":
             context.bench.book.stop(
                 placed.state, placed.task, placed.run, "test"
@@ -328,7 +328,7 @@
     bench.book.remove_entry(context.orders[0].worker, bench.now)
     bench.now += time
     for worker in bench.book.workers.values():
-        worker.answered = bench.now
+        worker.last_alive_at = bench.now
     take_away(context, away, "silent")
     bench.planner.stop_and_release(bench.now, bench.now)
 
@@ -341,7 +341,7 @@
     bench = context.bench
     bench.now += time
     for worker in bench.book.workers.values():
-        worker.answered = worker.settled = bench.now
+        worker.last_alive_at = worker.settled = bench.now
         worker.note_extension(bench.now, timing.WORKER_LEASE_S)
     bench.placed(context.orders[0]).run.percent = 0.0
     take_away(context, away, "silent")
@@ -379,7 +379,7 @@
     bench = context.bench
     bench.now += SETTLING_S
     for worker in bench.book.workers.values():
-        worker.answered = bench.now
+        worker.last_alive_at = bench.now
     placed = bench.placed(context.orders[1])
     assert eviction.may_evict(bench.book, placed, bench.now)
 
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -54,7 +54,7 @@
     """An owner that hears reports."""
 
     def take_report(self, worker, report, now):
-        worker.answered = now
+        worker.last_alive_at = now
 
 
 @behave.given("an owner that has just extended a worker's lease")
--- a/features/steps/upkeep_steps.py
+++ b/features/steps/upkeep_steps.py
@@ -244,7 +244,7 @@
     for _ in range(600):
         bench.now += 0.1
         for worker in bench.book.workers.values():
-            worker.answered = bench.now
+            worker.last_alive_at = bench.now
         assert not context.upkeep.decide(bench.now) and not bench.stops()
         leaving = context.upkeep.leaving()
         context.ever |= leaving
--- a/src/rackvalve/manager/roster.py
+++ b/src/rackvalve/manager/roster.py
@@ -181,7 +181,7 @@
             is_missing = (
                 worker.entry_missing_since is not None
                 and now - worker.entry_missing_since > timing.ENTRY_GRACE_S
-                and now - worker.answered > timing.ENTRY_GRACE_S
+                and now - worker.last_alive_at > timing.ENTRY_GRACE_S
             )
             if worker.entry is None or worker.replaced or is_missing:
                 self.end_life(identity, "its entry is gone, it is silent")
--- a/src/rackvalve/scheduling/eviction.py
+++ b/src/rackvalve/scheduling/eviction.py
@@ -33,7 +33,7 @@
         worker = book.workers.get(run.worker)
         if (
             worker is not None
-            and now - worker.answered <= SILENCE_S
+            and now - worker.last_alive_at <= SILENCE_S
             and now >= worker.settled
             and run.stage is progress.Stage.CONFIRMED
             and run.percent >= AT_WORK_PERCENT
--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -240,7 +240,7 @@
         now: float,
     ) -> bool:
         run = placed.run
-        fresh = now - worker.answered <= self._limits.freshness
+        fresh = now - worker.last_alive_at <= self._limits.freshness
         if run.stage is not progress.Stage.CONFIRMED or not fresh:
             return False
         if run.confirmed_at is None or placed.step.gang:
--- a/src/rackvalve/scheduling/releases.py
+++ b/src/rackvalve/scheduling/releases.py
@@ -109,6 +109,6 @@
     if proof == LEASE_OVER:
         return Fate.OUT_OF_REACH
     gone = worker.entry_missing_since
-    served_on = gone is not None and worker.answered > gone
+    served_on = gone is not None and worker.last_alive_at > gone
     said_so = worker.entry is not None and worker.entry.draining
     return Fate.LEFT if said_so or served_on else Fate.CRASHED
--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -105,7 +105,7 @@
         # One that is late by more has waited while this process stood still.
         worker.last_answer_at = min(now, report.sent + self._hold_most)
         # After a pause of this process the answer tells of a time before it.
-        worker.answered = min(now, report.sent + self._hold_wait)
+        worker.last_alive_at = min(now, report.sent + self._hold_wait)
         self.released += succession.take_over(
             self._book, worker, report, now=now, wall=wall
         )
--- a/src/rackvalve/scheduling/silence.py
+++ b/src/rackvalve/scheduling/silence.py
@@ -116,7 +116,7 @@
 
     def _last_sign(self, worker: workers.WorkerState) -> float:
         """Return the last time that an answer, or its entry, tells of."""
-        return max(worker.answered, self._since[worker.identity])
+        return max(worker.last_alive_at, self._since[worker.identity])
 
     def _release(self, worker: workers.WorkerState) -> bool:
         """Let the lease of a worker be over if the lists prove its life over.
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -67,7 +67,7 @@
         "began",
         "settled",
         "last_answer_at",
-        "answered",
+        "last_alive_at",
         "lease_expiry",
         "handled",
         "unrecorded",
@@ -105,7 +105,7 @@
         self.settled = float("inf")
         # When its last answer to a hold came, and the time that it tells of.
         self.last_answer_at = float("-inf")
-        self.answered = float("-inf")
+        self.last_alive_at = float("-inf")
         self.lease_expiry = lease_expiry
         # Number of the last end that was handled.
         self.handled = 0
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -244,7 +244,7 @@
     def _forget_gone(self, now: float) -> None:
         for name, worker in list(self.book.workers.items()):
             is_gone = name not in self._by_worker and worker.is_expired(now)
-            if is_gone and now - worker.answered > timing.ENTRY_GRACE_S:
+            if is_gone and now - worker.last_alive_at > timing.ENTRY_GRACE_S:
                 endings.end_life(self.book, name, "gone", now=now, wall=now)
 
     def _care(self) -> None:
--- a/tools/experiments/shares.py
+++ b/tools/experiments/shares.py
@@ -81,7 +81,7 @@
     book = books.Book(configuration, inherited_lease=0.0, now=NOW)
     worker = book.set_entry(_make_entry())
     worker.established = True
-    worker.answered = NOW
+    worker.last_alive_at = NOW
     planner = planners.Planner(
         book,
         planners.Limits(
