--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -171,7 +171,7 @@
 def spoil_worker(context):
     bench = context.bench = benches.Bench([EARLIER])
     worker = bench.book.workers[EARLIER]
-    worker.closing = "it is closed"
+    worker.close_reason = "it is closed"
     worker.backoff_until = bench.now + 100.0
     worker.failures = 5
     worker.slowness = 4.0
@@ -191,7 +191,7 @@
     found = bench.book.workers[LATER]
     other = benches.Bench([LATER]).book.workers[LATER]
     for field in (
-        "closing",
+        "close_reason",
         "backoff_until",
         "failures",
         "slowness",
--- a/features/steps/sizing_steps.py
+++ b/features/steps/sizing_steps.py
@@ -134,7 +134,7 @@
             placed = bench.placed_run(order)
             bench.book.release(placed, bench.now)
         for name in gone:
-            bench.book.workers[name].closing = sizing.SURPLUS
+            bench.book.workers[name].close_reason = sizing.SURPLUS
         bench.start_all()
     assert len(context.names) - len(gone) == count, gone
     placed = [run for t in context.state.tasks.values() for run in t.runs]
@@ -154,7 +154,7 @@
 def check_closed(context):
     assert context.gone <= context.sizing.find_closures().keys()
     for vm in context.gone:
-        assert context.bench.book.workers[vm].closing == sizing.SURPLUS
+        assert context.bench.book.workers[vm].close_reason == sizing.SURPLUS
         assert not context.bench.book.workers[vm].takes_work(
             context.bench.now, 10.0
         )
@@ -171,8 +171,8 @@
     book.closures.set(context.sizing.find_closures())
     for name, pool in (("old", known.pool), ("new", vms.SPARE)):
         book.set_entry(dataclasses.replace(known, identity=name, pool=pool))
-    assert book.workers["old"].closing == sizing.SURPLUS
-    assert not book.workers["new"].closing
+    assert book.workers["old"].close_reason == sizing.SURPLUS
+    assert not book.workers["new"].close_reason
 
 
 @behave.when("work for {count:d} VMs has just ended there")
--- a/features/steps/standing_steps.py
+++ b/features/steps/standing_steps.py
@@ -102,8 +102,8 @@
         context.bench.now, context.bench.now
     ),
     "no worker confirms a start": lambda context: context.bench.plan(),
-    "a wave closes the workers": change_workers(closing=upkeep.CLOSED),
-    "the workers are surplus": change_workers(closing="surplus"),
+    "a wave closes the workers": change_workers(close_reason=upkeep.CLOSED),
+    "the workers are surplus": change_workers(close_reason="surplus"),
     "the workers fall silent": silence_all,
     "the workers were never heard": change_workers(established=False),
     "the workers drain": drain,
@@ -185,7 +185,7 @@
 def open_workers(context):
     look(context)
     for name in NAMES:
-        context.bench.book.workers[name].closing = ""
+        context.bench.book.workers[name].close_reason = ""
     context.bench.now += 1.0
     for name in NAMES:
         context.bench.report(name)
--- a/features/steps/upkeep_steps.py
+++ b/features/steps/upkeep_steps.py
@@ -112,7 +112,7 @@
     bench, care = context.bench, context.upkeep
     for worker in bench.book.workers.values():
         vm = worker.entry.vm
-        worker.closing = upkeep.CLOSED if vm in care.leaving() else ""
+        worker.close_reason = upkeep.CLOSED if vm in care.leaving() else ""
     care.take_list(
         [
             vms.list_vm(vm, worker=life, up=vm not in context.back)
--- a/src/rackvalve/scheduling/closures.py
+++ b/src/rackvalve/scheduling/closures.py
@@ -48,6 +48,6 @@
         entry = worker.entry
         found = self._by_vm.get(entry.vm) if entry is not None else None
         if entry is None or found is None or entry.pool == found.besides:
-            worker.closing = ""
+            worker.close_reason = ""
         else:
-            worker.closing = found.reason
+            worker.close_reason = found.reason
--- a/src/rackvalve/scheduling/hindrance.py
+++ b/src/rackvalve/scheduling/hindrance.py
@@ -101,11 +101,11 @@
         return Availability.SILENT
     if worker.entry.draining:
         return Availability.DRAINING
-    if worker.closing == upkeep.CLOSED:
+    if worker.close_reason == upkeep.CLOSED:
         return Availability.WAVE
     if worker.evacuated:
         return Availability.EVACUATED
-    if worker.closing:
+    if worker.close_reason:
         return Availability.SURPLUS
     return Availability.TAKING
 
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -192,7 +192,7 @@
         """Choose a move; from now on the VM's workers take no work."""
         self.moving[vm] = pool
         for worker in self._upkeep.workers_on(vm):
-            worker.closing = SURPLUS
+            worker.close_reason = SURPLUS
         if pool in self.pools:
             self.pools[pool].have += 1
         return MoveVm(vm=vm, pool=pool)
--- a/src/rackvalve/scheduling/upkeep.py
+++ b/src/rackvalve/scheduling/upkeep.py
@@ -266,7 +266,7 @@
         """
         empty = True
         for worker in self.workers_on(vm):
-            worker.closing = reason
+            worker.close_reason = reason
             left = eviction.vacate(self._book, worker, patience, now)
             empty = empty and left
         return empty
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -74,7 +74,7 @@
         "entry_missing_since",
         "backoff_until",
         "failures",
-        "closing",
+        "close_reason",
         "evacuated",
         "maintenance_pending",
         "ordered_away",
@@ -118,7 +118,7 @@
         # Failed runs since the last good one.
         self.failures = 0
         # Why it takes no more work, empty while it does.
-        self.closing = ""
+        self.close_reason = ""
         # Whether nothing more is to be sent to its hall.
         self.evacuated = False
         # Whether its VM is still to be maintained.
@@ -222,7 +222,7 @@
         return (
             self.entry is not None
             and not self.entry.draining
-            and not self.closing
+            and not self.close_reason
             and not self.evacuated
             and self.established
             and now - self.last_answer_at <= freshness
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -273,11 +273,11 @@
         departing = self.sizing.departing()
         for worker in self.book.workers.values():
             vm = worker.entry.vm if worker.entry is not None else ""
-            worker.closing = ""
+            worker.close_reason = ""
             if vm in waves:
-                worker.closing = upkeeps.CLOSED
+                worker.close_reason = upkeeps.CLOSED
             elif vm in surplus or worker.identity in departing:
-                worker.closing = sizings.SURPLUS
+                worker.close_reason = sizings.SURPLUS
             worker.maintenance_pending = vm in later
 
     # -- VMs and workers ---------------------------------------------------
