--- a/src/rackvalve/scheduling/speeds.py
+++ b/src/rackvalve/scheduling/speeds.py
@@ -132,9 +132,9 @@
         :param durations: Mean time of a task by queue, in seconds.
         :param now: Present time, in seconds.
         """
-        if now - worker.judged < SAMPLE_S:
+        if now - worker.speed_checked_at < SAMPLE_S:
             return
-        worker.judged = now
+        worker.speed_checked_at = now
         ratios = self._compare(worker, durations)
         if ratios:
             ratio = statistics.median(ratios)
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -80,7 +80,7 @@
         "ordered_away",
         "slowness",
         "slow_until",
-        "judged",
+        "speed_checked_at",
     )
 
     def __init__(
@@ -130,7 +130,7 @@
         self.slowness = 1.0
         self.slow_until = float("-inf")
         # When it was last looked at for that.
-        self.judged = float("-inf")
+        self.speed_checked_at = float("-inf")
 
     def set_entry(self, entry: fleet.Entry) -> None:
         """Take what the worker says of itself now.
