--- a/features/steps/job_steps.py
+++ b/features/steps/job_steps.py
@@ -341,7 +341,7 @@
     bench = context.bench
     bench.now += time
     for worker in bench.book.workers.values():
-        worker.last_alive_at = worker.settled = bench.now
+        worker.last_alive_at = worker.inherited_stops_end = bench.now
         worker.note_extension(bench.now, timing.WORKER_LEASE_S)
     bench.placed(context.orders[0]).run.percent = 0.0
     take_away(context, away, "silent")
--- a/src/rackvalve/scheduling/eviction.py
+++ b/src/rackvalve/scheduling/eviction.py
@@ -34,7 +34,7 @@
         if (
             worker is not None
             and now - worker.last_alive_at <= SILENCE_S
-            and now >= worker.settled
+            and now >= worker.inherited_stops_end
             and run.stage is progress.Stage.CONFIRMED
             and run.percent >= AT_WORK_PERCENT
             and not run.stop_wanted
@@ -51,7 +51,7 @@
     :param now: Present time, in seconds.
     """
     worker = book.workers.get(placed.run.worker)
-    if worker is None or now < worker.settled:
+    if worker is None or now < worker.inherited_stops_end:
         return False
     # A task that was not at work when its worker last told may be by now, so
     # its own state does not matter.
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -65,7 +65,7 @@
         "suspects",
         "established",
         "began",
-        "settled",
+        "inherited_stops_end",
         "last_answer_at",
         "last_alive_at",
         "lease_expiry",
@@ -102,7 +102,7 @@
         # No earlier than this did it begin, in seconds.
         self.began = float("-inf")
         # When all stops of earlier owners have ended.
-        self.settled = float("inf")
+        self.inherited_stops_end = float("inf")
         # When its last answer to a hold came, and the time that it tells of.
         self.last_answer_at = float("-inf")
         self.last_alive_at = float("-inf")
@@ -187,7 +187,7 @@
             may have ordered just before, in seconds.
         """
         self.established = True
-        self.settled = now + settling
+        self.inherited_stops_end = now + settling
         self.lease_expiry = float("-inf")
         self.note_extension(now, length)
 
