--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -131,7 +131,7 @@
                 self._stop_stray(worker, key)
         if not worker.established:
             worker.note_established(now, self._lease, self._settling)
-            worker.began = now - report.clock
+            worker.earliest_start = now - report.clock
 
     def _take_end(
         self,
--- a/src/rackvalve/scheduling/silence.py
+++ b/src/rackvalve/scheduling/silence.py
@@ -127,7 +127,7 @@
         alive = self._last_sign(worker)
         vm = worker.location.vm
         if not self._listings.prove_over(
-            worker.life.worker, vm, began=worker.began, alive=alive
+            worker.life.worker, vm, began=worker.earliest_start, alive=alive
         ):
             return False
         worker.note_lost()
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -64,7 +64,7 @@
         "runs",
         "suspects",
         "established",
-        "began",
+        "earliest_start",
         "inherited_stops_end",
         "last_answer_at",
         "last_alive_at",
@@ -100,7 +100,7 @@
         # Whether it has taken our fencing token and told what runs.
         self.established = False
         # No earlier than this did it begin, in seconds.
-        self.began = float("-inf")
+        self.earliest_start = float("-inf")
         # When all stops of earlier owners have ended.
         self.inherited_stops_end = float("inf")
         # When its last answer to a hold came, and the time that it tells of.
