--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -62,7 +62,7 @@
         "begun",
         "changed",
         "queues",
-        "began",
+        "owned_since",
         "_inherited_until",
         "durations",
         "speeds",
@@ -99,7 +99,7 @@
         # Jobs whose record must be written, and whether someone waits for it.
         self.changed: dict[str, bool] = {}
         # Time when this owner took over, in seconds.
-        self.began = now
+        self.owned_since = now
         self._inherited_until = now + inherited_lease
         # Mean duration of a successful run by queue, in seconds.
         self.durations: dict[str, float] = {}
--- a/src/rackvalve/scheduling/hindrance.py
+++ b/src/rackvalve/scheduling/hindrance.py
@@ -376,7 +376,7 @@
         answered = min(worker.last_answer_at for worker in found)
         return Hindrance(
             cause=Cause.NO_PROOF,
-            since=max(self._book.began, answered),
+            since=max(self._book.owned_since, answered),
             pool=pool,
             workers=names,
             proof_in=max(0.0, first.lease_expiry - self._now),
--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -145,7 +145,7 @@
 
     def _is_silent(self, worker: workers.WorkerState, now: float) -> bool:
         """Return whether a worker has not answered this owner for a while."""
-        heard = max(worker.last_answer_at, self._book.began)
+        heard = max(worker.last_answer_at, self._book.owned_since)
         return now - heard > self._limits.freshness
 
     def _copy_runs(self, worker: workers.WorkerState, now: float) -> None:
