--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -93,7 +93,7 @@
 
     def raise_token(self, worker: workers.WorkerState) -> None:
         """Show a life a greater token if the worker has lived before."""
-        others = self.book.names.find(worker.life.worker)
+        others = self.book.workers_by_name.find(worker.life.worker)
         if self.rules.raised and len(others) > 1:
             self.tokens.raise_for(worker, self.committed_revision)
 
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -126,7 +126,7 @@
 def check_forgotten(context):
     bench = context.bench
     assert list(bench.book.workers) == [LATER]
-    assert bench.book.names.find("w1") == [bench.book.workers[LATER]]
+    assert bench.book.workers_by_name.find("w1") == [bench.book.workers[LATER]]
     (release,) = bench.handler.released
     assert release.worker == EARLIER
 
--- a/src/rackvalve/manager/roster.py
+++ b/src/rackvalve/manager/roster.py
@@ -223,7 +223,7 @@
             worker.identity,
             timeout=timing.ORDER_TIMEOUT_S,
         )
-        if len(self._book.names.find(worker.life.worker)) > 1:
+        if len(self._book.workers_by_name.find(worker.life.worker)) > 1:
             # Calls to the lives before do nothing at this one.
             self._owner.fences.raise_for(
                 worker, self._owner.committed_revision
--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -55,7 +55,7 @@
         "jobs",
         "open_jobs",
         "workers",
-        "names",
+        "workers_by_name",
         "lives",
         "members",
         "orders",
@@ -88,7 +88,7 @@
         self.open_jobs: dict[str, progress.JobState] = {}
         self.workers: dict[str, workers.WorkerState] = {}
         # Workers by name, which several incarnations may share.
-        self.names = index.Index()
+        self.workers_by_name = index.Index()
         # Workers by VM and by pool, once their entries name these.
         self.lives = index.Index()
         self.members = index.Index()
@@ -219,7 +219,7 @@
         :param now: Present time, in seconds.
         :param besides: Incarnation that still has an entry, if any.
         """
-        for worker in self.names.find(name):
+        for worker in self.workers_by_name.find(name):
             if worker is not besides and worker.entry_missing_since is None:
                 worker.entry_missing_since = now
 
@@ -228,7 +228,7 @@
 
         :param name: Name of the worker.
         """
-        known = self.names.find(name)
+        known = self.workers_by_name.find(name)
         present = [worker for worker in known if not worker.replaced]
         newest_first = (present or known)[::-1]
         return next(iter(newest_first), None)
@@ -415,7 +415,7 @@
         worker = self.workers.pop(identity, None)
         if worker is None:
             return None
-        self.names.remove(worker.life.worker, worker)
+        self.workers_by_name.remove(worker.life.worker, worker)
         if worker.entry is not None:
             self.lives.remove(worker.entry.vm, worker)
             self.members.remove(worker.entry.pool, worker)
@@ -475,7 +475,7 @@
         if found is None:
             found = workers.WorkerState(identity, None, self._inherited_until)
             self.workers[identity] = found
-            self.names.add(found.life.worker, found)
+            self.workers_by_name.add(found.life.worker, found)
         return found
 
     def move_run(
--- a/src/rackvalve/scheduling/succession.py
+++ b/src/rackvalve/scheduling/succession.py
@@ -87,7 +87,7 @@
     """
     return [
         other
-        for other in book.names.find(worker.life.worker)
+        for other in book.workers_by_name.find(worker.life.worker)
         if other is not worker
         and (
             other.replaced
--- a/src/rackvalve/scheduling/upkeep.py
+++ b/src/rackvalve/scheduling/upkeep.py
@@ -249,7 +249,9 @@
         """
         found = self._book.lives.find(vm)
         listed = self.vms.get(vm)
-        named = self._book.names.find(listed.worker) if listed else []
+        named = (
+            self._book.workers_by_name.find(listed.worker) if listed else []
+        )
         return found + [worker for worker in named if worker not in found]
 
     def vacate(
