--- a/src/rackvalve/manager/caretaker.py
+++ b/src/rackvalve/manager/caretaker.py
@@ -203,7 +203,7 @@
             if now >= until:
                 del self._held[vm]
                 self._uncertain.discard(vm)
-                for worker in self._book.lives.find(vm):
+                for worker in self._book.workers_by_vm.find(vm):
                     worker.ordered_away = False
                 # Where the list does not show its move, there was none.
                 self._sizing.give_up(vm)
@@ -350,7 +350,7 @@
         :param vm: The VM.
         :return: The lives.
         """
-        lives = self._book.lives.find(vm)
+        lives = self._book.workers_by_vm.find(vm)
         for worker in lives:
             worker.ordered_away = True
         return lives
--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -56,7 +56,7 @@
         "open_jobs",
         "workers",
         "workers_by_name",
-        "lives",
+        "workers_by_vm",
         "members",
         "orders",
         "begun",
@@ -90,7 +90,7 @@
         # Workers by name, which several incarnations may share.
         self.workers_by_name = index.Index()
         # Workers by VM and by pool, once their entries name these.
-        self.lives = index.Index()
+        self.workers_by_vm = index.Index()
         self.members = index.Index()
         # Orders to send to workers, oldest first.
         self.orders: collections.deque[messages.Order] = collections.deque()
@@ -202,7 +202,7 @@
         worker.set_entry(entry)
         worker.set_evacuated(self.evacuated)
         self.closures.apply(worker)
-        self.lives.add(entry.vm, worker)
+        self.workers_by_vm.add(entry.vm, worker)
         self.members.add(entry.pool, worker)
         return worker
 
@@ -417,7 +417,7 @@
             return None
         self.workers_by_name.remove(worker.life.worker, worker)
         if worker.entry is not None:
-            self.lives.remove(worker.entry.vm, worker)
+            self.workers_by_vm.remove(worker.entry.vm, worker)
             self.members.remove(worker.entry.pool, worker)
         return worker
 
--- a/src/rackvalve/scheduling/upkeep.py
+++ b/src/rackvalve/scheduling/upkeep.py
@@ -247,7 +247,7 @@
 
         :param vm: The VM.
         """
-        found = self._book.lives.find(vm)
+        found = self._book.workers_by_vm.find(vm)
         listed = self.vms.get(vm)
         named = (
             self._book.workers_by_name.find(listed.worker) if listed else []
