--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -57,7 +57,7 @@
         "workers",
         "workers_by_name",
         "workers_by_vm",
-        "members",
+        "workers_by_pool",
         "orders",
         "begun",
         "changed",
@@ -91,7 +91,7 @@
         self.workers_by_name = index.Index()
         # Workers by VM and by pool, once their entries name these.
         self.workers_by_vm = index.Index()
-        self.members = index.Index()
+        self.workers_by_pool = index.Index()
         # Orders to send to workers, oldest first.
         self.orders: collections.deque[messages.Order] = collections.deque()
         # Jobs whose first task has begun and whose begin is not logged yet.
@@ -203,7 +203,7 @@
         worker.set_evacuated(self.evacuated)
         self.closures.apply(worker)
         self.workers_by_vm.add(entry.vm, worker)
-        self.members.add(entry.pool, worker)
+        self.workers_by_pool.add(entry.pool, worker)
         return worker
 
     def remove_entry(
@@ -418,7 +418,7 @@
         self.workers_by_name.remove(worker.life.worker, worker)
         if worker.entry is not None:
             self.workers_by_vm.remove(worker.entry.vm, worker)
-            self.members.remove(worker.entry.pool, worker)
+            self.workers_by_pool.remove(worker.entry.pool, worker)
         return worker
 
     def mark(self, state: progress.JobState, *, urgent: bool = False) -> None:
--- a/src/rackvalve/scheduling/hindrance.py
+++ b/src/rackvalve/scheduling/hindrance.py
@@ -217,7 +217,7 @@
         found = self._pools.get(name)
         if found is None:
             found = self._pools[name] = PoolState(
-                self._book.members.find(name),
+                self._book.workers_by_pool.find(name),
                 self._planner.list_members(name, self._now),
                 self._planner.list_reserved(name),
                 self._now,
--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -287,7 +287,7 @@
         """
         members = [
             worker
-            for worker in self._book.members.find(pool)
+            for worker in self._book.workers_by_pool.find(pool)
             if worker.takes_work(now, self._limits.freshness)
         ]
         quick = [worker for worker in members if now >= worker.slow_until]
