--- a/features/steps/standing_steps.py
+++ b/features/steps/standing_steps.py
@@ -226,7 +226,7 @@
             state.accepted += 1.0
             state.next_run = 2
             state.finish(state.phase.COMPLETED, 0.0, "")
-            context.bench.book.mark(state)
+            context.bench.book.mark_changed(state)
 
 
 @behave.then(
--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -185,7 +185,7 @@
         :param reason: Why it ended.
         """
         state.finish(phase, wall, reason)
-        self.mark(state)
+        self.mark_changed(state)
         for task in state.tasks.values():
             for run in list(task.runs.values()):
                 self.stop(state, task, run, reason)
@@ -260,7 +260,7 @@
         state.waiting.pop(task.name, None)
         worker.add(workers.PlacedRun(state, task, run))
         self._count_run(state, task)
-        self.mark(state, urgent=True)
+        self.mark_changed(state, urgent=True)
         return run
 
     def release(
@@ -279,7 +279,7 @@
             ask = fleet.ask_of(placed.step)
             self.usage.drop(placed.state.workspace, ask)
         placed.state.requeue(placed.task, now + delay)
-        self.mark(placed.state)
+        self.mark_changed(placed.state)
 
     def stop(
         self,
@@ -389,7 +389,7 @@
         :param state: The job.
         """
         self.begun.append(state)
-        self.mark(state)
+        self.mark_changed(state)
 
     def take_stop(self, worker: str, key: workers.RunKey, now: float) -> None:
         """Note that a worker has taken the order to stop a run.
@@ -421,7 +421,9 @@
             self.workers_by_pool.remove(worker.entry.pool, worker)
         return worker
 
-    def mark(self, state: progress.JobState, *, urgent: bool = False) -> None:
+    def mark_changed(
+        self, state: progress.JobState, *, urgent: bool = False
+    ) -> None:
         """Mark a job's record as to be written.
 
         :param state: The job.
@@ -491,7 +493,7 @@
         run.worker = later.identity
         run.location = later.location
         later.add(placed)
-        self.mark(placed.state)
+        self.mark_changed(placed.state)
         if run.stop_wanted and run.stage is not progress.Stage.PLANNED:
             # The order to stop it went to the earlier incarnation.
             run.stop_wanted = False
--- a/src/rackvalve/scheduling/endings.py
+++ b/src/rackvalve/scheduling/endings.py
@@ -90,4 +90,4 @@
     book.finish_job(state, progress.Phase.FAILED, wall, reason)
     book.crash_history.culprits.take(state, book.open_jobs.values())
     for other in crashes.explain(state, book.open_jobs.values()):
-        book.mark(other)
+        book.mark_changed(other)
--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -123,7 +123,7 @@
                 if beginnings.note_there(placed):
                     self._book.note_begun(placed.state)
                 if crashes.clear(worker, placed, report.sent):
-                    self._book.mark(placed.state)
+                    self._book.mark_changed(placed.state)
             elif len(report.ended) < ENDS_PER_REPORT:
                 self._take_absence(worker, placed, report.sent, now)
         for key in running:
@@ -172,7 +172,7 @@
             # Its run was released without the worker's word.
             task.untold.discard(row.run)
             task.failures += row.ending is messages.Ending.FAILED
-            self._book.mark(state)
+            self._book.mark_changed(state)
             self._fail_if_spent(state, task, wall)
 
     def _take_done(
@@ -197,14 +197,14 @@
         if step.gang:
             self._finish_gang(state, task, number)
         state.waiting.pop(task.name, None)
-        self._book.mark(state)
+        self._book.mark_changed(state)
         for run in list(task.runs.values()):
             self._book.stop(state, task, run, "another run is done")
         if state.is_final:
             return
         state.open_steps(wall)
         state.finish_if_done(wall)
-        self._book.mark(state)
+        self._book.mark_changed(state)
 
     def _finish_gang(
         self, state: progress.JobState, ended: progress.Task, number: int
