--- a/features/job_bench.py
+++ b/features/job_bench.py
@@ -102,7 +102,7 @@
 
     def confirm(self, order):
         placed = self.placed(order)
-        self.book.take_start(
+        self.book.apply_start_result(
             placed,
             messages.StartResult.STARTED,
             uncertain=False,
--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -304,7 +304,7 @@
         if result is None:
             self.note_refused(worker)
             return self.deposed
-        self.book.take_start(
+        self.book.apply_start_result(
             placed,
             result,
             uncertain=key in self.uncertain,
--- a/features/steps/bound_steps.py
+++ b/features/steps/bound_steps.py
@@ -356,7 +356,7 @@
     def reject_start(self):
         placed = self.pick_run()
         if placed is not None:
-            self.bench.book.take_start(
+            self.bench.book.apply_start_result(
                 placed,
                 messages.StartResult.NO_ROOM,
                 uncertain=self.random.random() < 0.5,
--- a/features/steps/count_steps.py
+++ b/features/steps/count_steps.py
@@ -44,7 +44,7 @@
 
     def answer(self, result, *, uncertain=False):
         """Have the first start answered."""
-        self.bench.book.take_start(
+        self.bench.book.apply_start_result(
             self.bench.placed(self.order),
             result,
             uncertain=uncertain,
--- a/features/steps/job_steps.py
+++ b/features/steps/job_steps.py
@@ -245,7 +245,7 @@
 def reject_uncertain(context):
     context.bench.plan()
     (context.order,) = context.bench.starts()
-    context.bench.book.take_start(
+    context.bench.book.apply_start_result(
         context.bench.placed(context.order),
         messages.StartResult.NO_ROOM,
         uncertain=True,
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -274,7 +274,7 @@
                 reason=result.value,
                 uncertain=uncertain,
             )
-        self._book.take_start(
+        self._book.apply_start_result(
             placed, result, uncertain=uncertain, now=clocks.read_steady()
         )
         self._reporter.log_begun()
--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -343,7 +343,7 @@
                 )
             )
 
-    def take_start(
+    def apply_start_result(
         self,
         placed: workers.PlacedRun,
         result: messages.StartResult,
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -401,7 +401,7 @@
         known = self.book.workers[vm.worker.identity]
         placed = known.runs.get((full, order.run))
         if placed is not None:
-            self.book.take_start(
+            self.book.apply_start_result(
                 placed,
                 messages.StartResult.STARTED,
                 uncertain=False,
