--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -266,7 +266,7 @@
             if lose_answer:
                 return False
             if taken:
-                self.book.take_stop(
+                self.book.confirm_stop(
                     order.worker, (order.task, order.run), self.world.now
                 )
             else:
--- a/features/steps/count_steps.py
+++ b/features/steps/count_steps.py
@@ -117,7 +117,7 @@
 def _seal(words):
     _give_up(words)
     key = (f"{words.order.job}.{words.order.task}", words.order.run)
-    words.bench.book.take_stop(words.order.worker, key, words.bench.now)
+    words.bench.book.confirm_stop(words.order.worker, key, words.bench.now)
     words.report()
 
 
--- a/features/steps/job_steps.py
+++ b/features/steps/job_steps.py
@@ -259,7 +259,7 @@
     bench.plan()
     assert not bench.starts()
     bench.now += 0.01
-    bench.book.take_stop(
+    bench.book.confirm_stop(
         order.worker, (f"{benches.IDENTITY}.0.0.0", order.run), bench.now
     )
     bench.now += 0.01
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -286,7 +286,7 @@
         :param worker: Identity of the worker.
         :param key: Full name of the task and number of the run.
         """
-        self._book.take_stop(worker, key, clocks.read_steady())
+        self._book.confirm_stop(worker, key, clocks.read_steady())
 
     def _forget_lives(self) -> None:
         """Have nothing more to do with lives that later ones have ended."""
--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -1,8 +1,7 @@
-"""In-memory state of one owner: its jobs, workers and runs.
+"""One owner's jobs, workers and runs, which planner and reports change.
 
-The planner, the report handler and the manager read and change it.  A task
-never has two runs at the same time: a run is removed only when its end was
-reported, when its worker answers under this owner's fencing token that it
+A task never has two runs at the same time: a run is removed only when its end
+was reported, when its worker answers under this owner's fencing token that it
 does not have the run and cannot get it, or when the worker's incarnation or
 lease is over.
 """
@@ -79,7 +78,7 @@
         now: float,
     ) -> None:
         self.configuration = configuration
-        # Evacuated halls: no run is started on their VMs.
+        # Halls on whose VMs no run is started.
         self.evacuated: frozenset[str] = frozenset()
         self.closures = closures.Closures()
         self.queues = {queue.name: queue for queue in configuration.queues}
@@ -87,27 +86,24 @@
         # Jobs not ended; ended ones, kept for callers, must not cost time.
         self.open_jobs: dict[str, progress.JobState] = {}
         self.workers: dict[str, workers.WorkerState] = {}
-        # Workers by name, which several incarnations may share.
+        # Several incarnations of a worker may share its name.
         self.workers_by_name = index.Index()
-        # Workers by VM and by pool, once their entries name these.
+        # VM and pool of a worker are known once its entry names them.
         self.workers_by_vm = index.Index()
         self.workers_by_pool = index.Index()
         # Orders to send to workers, oldest first.
         self.orders: collections.deque[messages.Order] = collections.deque()
-        # Jobs whose first task has begun and whose begin is not logged yet.
+        # Jobs that have begun and whose begin is not logged yet.
         self.begun: list[progress.JobState] = []
         # Jobs whose record must be written, and whether someone waits for it.
         self.changed: dict[str, bool] = {}
-        # Time when this owner took over, in seconds.
         self.owned_since = now
         self._inherited_until = now + inherited_lease
         # Mean duration of a successful run by queue, in seconds.
         self.durations: dict[str, float] = {}
         self.speeds = speeds.Speeds()
-        # Resources in use by each workspace, checked against its bound.
         self.usage = usage.Usage()
         self.crash_history = crash_history.CrashHistory()
-        # Tells which jobs came within the rate paid by their workspace.
         self._rates = rates.Rates()
 
     def set_configuration(self, configuration: queues.Configuration) -> None:
@@ -391,7 +387,9 @@
         self.begun.append(state)
         self.mark_changed(state)
 
-    def take_stop(self, worker: str, key: workers.RunKey, now: float) -> None:
+    def confirm_stop(
+        self, worker: str, key: workers.RunKey, now: float
+    ) -> None:
         """Note that a worker has taken the order to stop a run.
 
         The run can no longer be started there; a report requested later lists
@@ -441,8 +439,8 @@
         """Return a job's workspace.
 
         :param state: The job.
-        :return: The workspace; ``None`` for a job without one, or if the
-            configuration no longer has it: the job runs on without a bound.
+        :return: The workspace; ``None`` for a job without one or with one that
+            is no longer configured, which runs on without a bound.
         """
         return self.configuration.workspaces.find(state.workspace)
 
