--- a/features/job_bench.py
+++ b/features/job_bench.py
@@ -80,7 +80,7 @@
         self.planner.plan(self.now, self.now)
         for state in self.book.jobs.values():
             planned = state.list_planned()
-            self.book.take_recorded(state.identity, planned, self.now)
+            self.book.order_recorded(state.identity, planned, self.now)
 
     def starts(self):
         """Take the starts ordered so far."""
--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -141,7 +141,7 @@
                 self.world.completed.add(identity)
             elif state.phase is progress.Phase.FAILED:
                 self.world.check_given_up(identity)
-            self.book.take_recorded(identity, planned, self.world.now)
+            self.book.order_recorded(identity, planned, self.world.now)
         self.book.changed.clear()
         self.durable = self.writes
 
@@ -158,7 +158,7 @@
             for identity in list(self.book.changed):
                 state = self.book.jobs[identity]
                 planned = state.list_planned()
-                self.book.take_recorded(identity, planned, self.world.now)
+                self.book.order_recorded(identity, planned, self.world.now)
 
     def list_vms(self, lag: float) -> None:
         self.listed = (self.platform.read(lag), self.world.now)
--- a/features/steps/isolation_steps.py
+++ b/features/steps/isolation_steps.py
@@ -141,7 +141,7 @@
     number = state.take_run_number()
     worker = bench.book.workers[name]
     bench.book.place(state, task, worker, number, bench.now)
-    bench.book.take_recorded(state.identity, state.list_planned(), bench.now)
+    bench.book.order_recorded(state.identity, state.list_planned(), bench.now)
     (order,) = bench.starts()
     bench.confirm(order)
 
--- a/src/rackvalve/manager/recorder.py
+++ b/src/rackvalve/manager/recorder.py
@@ -171,7 +171,7 @@
         if phase in progress.FINAL and state.identity not in self._ended:
             self._ended.add(state.identity)
             self._note_end(state, phase, now)
-        self._book.take_recorded(state.identity, planned, now)
+        self._book.order_recorded(state.identity, planned, now)
         self._on_recorded()
 
     def _note_end(
--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -295,7 +295,7 @@
             return
         run.stop_wanted = True
         if run.stage is progress.Stage.PLANNED:
-            # It was sent to no worker; `take_recorded` removes it.
+            # It was sent to no worker; `order_recorded` removes it.
             return
         run.stage = progress.Stage.STOPPING
         self.orders.append(
@@ -307,7 +307,7 @@
             )
         )
 
-    def take_recorded(
+    def order_recorded(
         self,
         identity: str,
         planned: list[tuple[definition.TaskName, int]],
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -216,7 +216,7 @@
     def _record(
         self, name: str, planned: list[tuple[definition.TaskName, int]]
     ) -> None:
-        self.book.take_recorded(name, planned, self.now)
+        self.book.order_recorded(name, planned, self.now)
         self._send()
 
     def _send(self) -> None:
