--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -116,7 +116,7 @@
         assert task.done and not task.runs
     else:
         (run,) = task.runs.values()
-        present = context.bench.book.find_present("w1").identity
+        present = context.bench.book.find_current("w1").identity
         assert run.worker in (present, EARLIER), run.worker
         worker = context.bench.book.workers[run.worker]
         assert worker.established and len(worker.runs) == 1
--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -193,7 +193,7 @@
         """
         life = lives.read_life(entry.identity)
         # An entry without a birth is of the worker's current incarnation.
-        known = self.find_present(life.worker) if life.born is None else None
+        known = self.find_current(life.worker) if life.born is None else None
         worker = known or self.add_life(entry.identity)
         worker.set_entry(entry)
         worker.set_evacuated(self.evacuated)
@@ -219,7 +219,7 @@
             if worker is not besides and worker.entry_missing_since is None:
                 worker.entry_missing_since = now
 
-    def find_present(self, name: str) -> workers.WorkerState | None:
+    def find_current(self, name: str) -> workers.WorkerState | None:
         """Return the newest known incarnation of a worker.
 
         :param name: Name of the worker.
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -255,7 +255,7 @@
         """
         if vm.lost or vm.hall in self._book.evacuated:
             return False
-        worker = self._book.find_present(vm.worker)
+        worker = self._book.find_current(vm.worker)
         if worker is None or worker.entry is None:
             return not vm.up
         if worker.identity in self._silence.workers:
@@ -325,7 +325,7 @@
         later = self._upkeep.later()
         ranked: list[tuple[tuple[int, int, int], str]] = []
         for vm in self._upkeep.vms.values():
-            worker = self._book.find_present(vm.worker)
+            worker = self._book.find_current(vm.worker)
             if vm.pool != name or not vm.up or vm.identity in away:
                 continue
             if worker is None or worker.entry is None:
