--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -296,7 +296,7 @@
     context.worker = bench.book.workers[EARLIER]
     context.owner = mock.Mock(durable=0, fences=fences.Fences(7))
     if whose == "it itself":
-        later = bench.book.add_life(LATER)
+        later = bench.book.add_incarnation(LATER)
         context.owner.fences.raise_for(later, 9)
     client = mock.Mock()
     client.hold.return_value = clients.Rejected(
--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -146,7 +146,7 @@
             self.open_jobs[state.identity] = state
         for task in state.tasks.values():
             for run in task.runs.values():
-                worker = self.add_life(run.worker)
+                worker = self.add_incarnation(run.worker)
                 worker.location = worker.location or run.location
                 worker.add(workers.PlacedRun(state, task, run))
                 self._count_run(state, task)
@@ -194,7 +194,7 @@
         life = lives.read_life(entry.identity)
         # An entry without a birth is of the worker's current incarnation.
         known = self.find_current(life.worker) if life.born is None else None
-        worker = known or self.add_life(entry.identity)
+        worker = known or self.add_incarnation(entry.identity)
         worker.set_entry(entry)
         worker.set_evacuated(self.evacuated)
         self.closures.apply(worker)
@@ -466,7 +466,7 @@
         )
         self.release(placed or workers.PlacedRun(state, task, run), now)
 
-    def add_life(self, identity: str) -> workers.WorkerState:
+    def add_incarnation(self, identity: str) -> workers.WorkerState:
         """Return an incarnation of a worker, added if it is not known.
 
         :param identity: Identity of the incarnation.
--- a/src/rackvalve/scheduling/succession.py
+++ b/src/rackvalve/scheduling/succession.py
@@ -40,7 +40,7 @@
         return None
     earlier.replaced = True
     life = lives.Life(worker=earlier.life.worker, born=born)
-    later = book.add_life(life.identity)
+    later = book.add_incarnation(life.identity)
     later.location = later.location or earlier.location
     later.note_extension(now, HEARD_OF_S)
     entry = earlier.entry
