--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -404,7 +404,7 @@
         if placed is not None and placed.run.confirmed_at is None:
             placed.run.confirmed_at = now
 
-    def remove_life(self, identity: str) -> workers.WorkerState | None:
+    def remove_incarnation(self, identity: str) -> workers.WorkerState | None:
         """Remove an incarnation that is over; the caller releases its runs.
 
         :param identity: Identity of the incarnation.
--- a/src/rackvalve/scheduling/endings.py
+++ b/src/rackvalve/scheduling/endings.py
@@ -71,7 +71,7 @@
     :param wall: Present time, seconds since 1970.
     :return: What was released; ``None`` for a life that is not known.
     """
-    worker = book.remove_life(identity)
+    worker = book.remove_incarnation(identity)
     if worker is None:
         return None
     return release_all(book, worker, proof, now=now, wall=wall)
