--- a/features/job_bench.py
+++ b/features/job_bench.py
@@ -120,7 +120,7 @@
 
     def end_life(self, name, proof="another life answers"):
         """Let a worker's life be over by a proof."""
-        return endings.end_life(
+        return endings.end_incarnation(
             self.book, name, proof, now=self.now, wall=self.now
         )
 
--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -195,7 +195,7 @@
         if life is None:
             vm = worker.location.vm
             if reachable and self.platform.is_replaced(vm, name):
-                endings.end_life(
+                endings.end_incarnation(
                     self.book,
                     identity,
                     "another life answers",
--- a/src/rackvalve/manager/roster.py
+++ b/src/rackvalve/manager/roster.py
@@ -126,7 +126,7 @@
                 reason=reason,
                 runs=len(worker.runs),
             )
-        release = endings.end_life(
+        release = endings.end_incarnation(
             self._book,
             identity,
             reason,
--- a/src/rackvalve/scheduling/endings.py
+++ b/src/rackvalve/scheduling/endings.py
@@ -59,7 +59,7 @@
     return release_all(book, worker, proof, now=now, wall=wall)
 
 
-def end_life(
+def end_incarnation(
     book: books.Book, identity: str, proof: str, *, now: float, wall: float
 ) -> releases.Release | None:
     """Forget a life of a worker that is over, and all its runs.
--- a/src/rackvalve/scheduling/succession.py
+++ b/src/rackvalve/scheduling/succession.py
@@ -70,7 +70,7 @@
     found = []
     for earlier in _list_earlier(book, worker):
         _move_runs(book, earlier, worker, report)
-        release = endings.end_life(
+        release = endings.end_incarnation(
             book, earlier.identity, releases.RESTARTED, now=now, wall=wall
         )
         if release is not None:
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -1,8 +1,7 @@
-"""Plays a day: the product decides, models of workers carry it out.
+"""Simulates a day: the product decides, models of workers carry it out.
 
-No sockets and no clock: events come in order of their time, so that the same
-seed gives the same day.  What is modelled is what decisions depend on: room,
-leases, moves that take their time, silence, owners that are away.
+It uses no sockets and no clock, so that a seed always gives the same day.  The
+models have capacity, leases, slow moves, silent workers and absent owners.
 """
 
 from __future__ import annotations
@@ -32,9 +31,8 @@
 from tools.emulator import vms
 
 SPARE = "spare"
-# Times as the product's logs showed them on the users' machines, in seconds:
-# from a plan to its record, from an order to a move to its start, from a new
-# life to its first report.
+# Times in the users' logs, in seconds: plan to its record, order to the VM's
+# move, start of a worker to its first report.
 RECORD_S = 0.015
 ORDER_S = 0.08
 APPEAR_S = 0.25
@@ -117,8 +115,6 @@
         self.result.jobs = list(self._jobs.values())
         return self.result
 
-    # -- events ------------------------------------------------------------
-
     def at(self, when: float, function: Callable[[], None]) -> None:
         """Have something done at a time.
 
@@ -245,7 +241,9 @@
         for name, worker in list(self.book.workers.items()):
             is_gone = name not in self._by_worker and worker.is_expired(now)
             if is_gone and now - worker.last_alive_at > timing.ENTRY_GRACE_S:
-                endings.end_life(self.book, name, "gone", now=now, wall=now)
+                endings.end_incarnation(
+                    self.book, name, "gone", now=now, wall=now
+                )
 
     def _care(self) -> None:
         if not self._is_away():
