--- a/src/rackvalve/scheduling/endings.py
+++ b/src/rackvalve/scheduling/endings.py
@@ -44,7 +44,7 @@
     return release
 
 
-def release_over(
+def release_expired(
     book: books.Book, worker: workers.WorkerState, now: float, wall: float
 ) -> releases.Release:
     """Forget the runs of a worker whose leases are over.
--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -131,7 +131,7 @@
         released: list[releases.Release] = []
         for worker in list(self._book.workers.values()):
             if worker.runs and worker.is_expired(now):
-                over = endings.release_over(self._book, worker, now, wall)
+                over = endings.release_expired(self._book, worker, now, wall)
                 released.append(over)
                 continue
             for placed in list(worker.runs.values()):
