--- a/features/job_bench.py
+++ b/features/job_bench.py
@@ -55,7 +55,7 @@
                     checkpoint="",
                 )
             )
-        self.handler.take(
+        self.handler.apply(
             worker,
             messages.Report(
                 sent=self.now, running=tuple(running), ended=tuple(rows)
--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -240,7 +240,7 @@
                 identity, worker_clock.WorkerClock()
             )
             known.note(clock, self.world.now)
-            self.handler.take(
+            self.handler.apply(
                 worker, report, now=self.world.now, wall=self.world.now
             )
             self.writes += 1
--- a/features/steps/count_steps.py
+++ b/features/steps/count_steps.py
@@ -67,7 +67,7 @@
             cause=cause,
             checkpoint="",
         )
-        self.bench.handler.take(
+        self.bench.handler.apply(
             worker,
             messages.Report(sent=self.bench.now, running=(), ended=(row,)),
             now=self.bench.now,
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -367,7 +367,7 @@
     bench = context.bench
     asked = bench.now + work
     bench.now = asked + late
-    bench.handler.take(
+    bench.handler.apply(
         bench.book.workers["w0"],
         messages.Report(sent=asked, running=tuple(bench.rows("w0")), ended=()),
         now=bench.now,
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -138,7 +138,7 @@
         succession.note_replaced(self.bench.book, worker, born, self.bench.now)
 
     def take_report(self, worker, report, now):
-        self.bench.handler.take(worker, report, now=now, wall=now)
+        self.bench.handler.apply(worker, report, now=now, wall=now)
 
 
 def _make_bench(names=("w1", "w2")):
--- a/features/steps/late_start_steps.py
+++ b/features/steps/late_start_steps.py
@@ -209,7 +209,7 @@
     context.bench.add(definition.Step(tasks=1, cpu=1))
     sent = context.bench.now
     context.bench.now += seconds
-    context.bench.handler.take(
+    context.bench.handler.apply(
         context.bench.book.workers["w1"],
         messages.Report(sent=sent, running=(), ended=()),
         now=context.bench.now,
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -225,7 +225,7 @@
     bench.add(definition.Step(tasks=1, cpu=1))
     bench.numbers[LATER] = 0
     take_list(context, "w1")
-    bench.handler.take(
+    bench.handler.apply(
         bench.book.workers[LATER],
         messages.Report(
             sent=bench.now, running=(), ended=(), clock=float(age)
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -230,7 +230,7 @@
         if self.deposed:
             return
         first = not worker.established
-        self._handler.take(worker, report, now=now, wall=clocks.read_wall())
+        self._handler.apply(worker, report, now=now, wall=clocks.read_wall())
         self._forget_lives()
         if first:
             logs.write_event(
--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -87,7 +87,7 @@
         # What ended with earlier lives of workers, not yet taken up.
         self.released: list[releases.Release] = []
 
-    def take(
+    def apply(
         self,
         worker: workers.WorkerState,
         report: messages.Report,
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -363,7 +363,7 @@
         known = self.book.workers[worker.identity]
         known.note_extension(self.now, timing.WORKER_LEASE_S)
         ended, worker.ended = worker.ended, []
-        self.handler.take(
+        self.handler.apply(
             known,
             messages.Report(
                 sent=self.now,
