--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -108,7 +108,7 @@
     def leave_hold(self, identity: str):
         """Return a hold that is carried out later, with the worker's name."""
         name = lives.read_life(identity).worker
-        seen = self.book.workers[identity].acknowledged(self.durable)
+        seen = self.book.workers[identity].find_acknowledged(self.durable)
         token = self.tokens.find(self.book.workers[identity])
         now = self.world.now
         return name, lambda life: life.hold(token, seen, None, now)
@@ -221,7 +221,7 @@
         if not reachable or not life.answers:
             return
         if self.rules.acknowledge:
-            seen = worker.acknowledged(self.durable)
+            seen = worker.find_acknowledged(self.durable)
         else:
             seen = worker.handled
         token = self.tokens.find(worker)
--- a/src/rackvalve/manager/contact.py
+++ b/src/rackvalve/manager/contact.py
@@ -139,7 +139,7 @@
         outcome = self._call(
             self._client.hold,
             lease_until=until,
-            acknowledged=self._worker.acknowledged(self._owner.durable),
+            acknowledged=self._worker.find_acknowledged(self._owner.durable),
             wait=wait,
             timeout=self._patience,
         )
@@ -197,7 +197,7 @@
         """Let the ends of the last report come into the store first."""
         until = clocks.read_steady() + timing.RECORD_WAIT_S
         while True:
-            self._worker.acknowledged(self._owner.durable)
+            self._worker.find_acknowledged(self._owner.durable)
             left = until - clocks.read_steady()
             if not self._worker.unrecorded or left <= 0:
                 return
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -240,7 +240,7 @@
             for number, known in self.unrecorded
         ]
 
-    def acknowledged(self, durable: int) -> int:
+    def find_acknowledged(self, durable: int) -> int:
         """Return the last end that the worker may forget.
 
         :param durable: Number of the last write that is in the store.
