--- a/features/steps/isolation_steps.py
+++ b/features/steps/isolation_steps.py
@@ -15,9 +15,9 @@
 from rackvalve.jobs import definition
 from rackvalve.jobs import progress
 from rackvalve.manager import timing
+from rackvalve.scheduling import blockers
 from rackvalve.scheduling import crash_series
 from rackvalve.scheduling import fleet
-from rackvalve.scheduling import hindrance as hindrances
 from rackvalve.scheduling import messages
 from tools.experiments import crashes as experiment
 from tools import site as sites
@@ -345,13 +345,13 @@
 )
 def check_told(context):
     bench = context.bench
-    judge = hindrances.Judge(
+    judge = blockers.Judge(
         bench.book, bench.planner, bench.now, timing.FRESHNESS_S
     )
     found = judge.find(context.others, context.others.waiting, ())
-    assert found.cause is hindrances.Cause.NO_ROOM, found
+    assert found.cause is blockers.Cause.NO_ROOM, found
     counts = judge.pool(models.POOL).counts
-    assert counts == {hindrances.Availability.KEPT: 1}, counts
+    assert counts == {blockers.Availability.KEPT: 1}, counts
 
 
 @behave.given(
--- a/src/rackvalve/manager/reporter.py
+++ b/src/rackvalve/manager/reporter.py
@@ -7,8 +7,8 @@
 from rackvalve import clocks
 from rackvalve import logs
 from rackvalve.manager import timing
+from rackvalve.scheduling import blockers
 from rackvalve.scheduling import book as books
-from rackvalve.scheduling import hindrance as hindrances
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import planner as planners
 from rackvalve.scheduling import releases
@@ -58,7 +58,7 @@
 
     def close(self) -> None:
         """Tell no more of what stood: another process may own."""
-        for cause in hindrances.Cause:
+        for cause in blockers.Cause:
             self._telemetry.jobs_standing.labels(cause.value).set(0)
 
     def log_order(self, order: messages.Order) -> None:
@@ -195,7 +195,7 @@
         self._standing_at = now
         found = self._standing.look(now)
         counts = found.count()
-        for cause in hindrances.Cause:
+        for cause in blockers.Cause:
             gauge = self._telemetry.jobs_standing.labels(cause.value)
             gauge.set(counts[cause])
         for pool in found.pools:
@@ -249,8 +249,8 @@
 
 
 def _list_counts(
-    counts: collections.Counter[hindrances.Cause]
-    | collections.Counter[hindrances.Availability],
+    counts: collections.Counter[blockers.Cause]
+    | collections.Counter[blockers.Availability],
 ) -> list[str]:
     """Return counts as texts, the greatest first."""
     return [
--- a/src/rackvalve/scheduling/standing.py
+++ b/src/rackvalve/scheduling/standing.py
@@ -15,8 +15,8 @@
 
 from rackvalve.jobs import definition
 from rackvalve.jobs import progress
+from rackvalve.scheduling import blockers
 from rackvalve.scheduling import book as books
-from rackvalve.scheduling import hindrance as hindrances
 from rackvalve.scheduling import planner as planners
 from rackvalve.scheduling import workers
 
@@ -76,10 +76,10 @@
     accepted: float
     seconds: float
     waiting: int
-    hindrance: hindrances.Hindrance
+    hindrance: blockers.Hindrance
 
     @property
-    def cause(self) -> hindrances.Cause:
+    def cause(self) -> blockers.Cause:
         """Why it stands."""
         return self.hindrance.cause
 
@@ -102,10 +102,10 @@
     """
 
     pool: str
-    causes: collections.Counter[hindrances.Cause]
+    causes: collections.Counter[blockers.Cause]
     oldest: JobStanding
     overtaken: int
-    workers: collections.Counter[hindrances.Availability]
+    workers: collections.Counter[blockers.Availability]
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
@@ -122,9 +122,9 @@
     jobs: tuple[JobStanding, ...]
     unjudged: int
 
-    def count(self) -> collections.Counter[hindrances.Cause]:
+    def count(self) -> collections.Counter[blockers.Cause]:
         """Return how many jobs stand, by cause."""
-        total: collections.Counter[hindrances.Cause] = collections.Counter()
+        total: collections.Counter[blockers.Cause] = collections.Counter()
         for pool in self.pools:
             total.update(pool.causes)
         return total
@@ -164,7 +164,7 @@
         # Tasks, and their jobs, of which a run has ended since the last look.
         self._ended: set[str] = set()
         # Causes that were told of each job or lasting task.
-        self._told: dict[str, set[hindrances.Cause]] = {}
+        self._told: dict[str, set[blockers.Cause]] = {}
         # How many jobs the last look has left out.
         self._unjudged = 0
 
@@ -181,9 +181,7 @@
 
         :param now: Present time, in seconds.
         """
-        judge = hindrances.Judge(
-            self._book, self._planner, now, self._freshness
-        )
+        judge = blockers.Judge(self._book, self._planner, now, self._freshness)
         standing = self._find_all(judge, now)
         by_pool: dict[str, list[JobStanding]] = {}
         for job in standing:
@@ -201,7 +199,7 @@
         )
 
     def _find_all(
-        self, judge: hindrances.Judge, now: float
+        self, judge: blockers.Judge, now: float
     ) -> list[JobStanding]:
         """Return the jobs that stand, those that stand longest first."""
         at_work, idle = self._sort_runs(judge)
@@ -227,7 +225,7 @@
         return sorted(found, key=lambda job: -job.seconds)
 
     def _sort_runs(
-        self, judge: hindrances.Judge
+        self, judge: blockers.Judge
     ) -> tuple[set[str], dict[str, list[workers.PlacedRun]]]:
         """Return jobs with something at work, and other runs by job."""
         at_work: set[str] = set()
@@ -241,7 +239,7 @@
         return at_work, idle
 
     def _find_beginning(
-        self, part: _Part, hindrance: hindrances.Hindrance
+        self, part: _Part, hindrance: blockers.Hindrance
     ) -> float:
         known = self._since.get(part.name)
         if known is not None and part.name not in self._ended:
@@ -254,7 +252,7 @@
         return max(hindrance.since, self._looked)
 
     def _sum_up(
-        self, judge: hindrances.Judge, pool: str, jobs: list[JobStanding]
+        self, judge: blockers.Judge, pool: str, jobs: list[JobStanding]
     ) -> PoolStanding:
         return PoolStanding(
             pool=pool,
@@ -275,7 +273,7 @@
 
     def _choose(self, jobs: list[JobStanding]) -> list[JobStanding]:
         """Choose of which jobs of a pool to tell."""
-        counts: collections.Counter[hindrances.Cause] = collections.Counter()
+        counts: collections.Counter[blockers.Cause] = collections.Counter()
         chosen: list[JobStanding] = []
         for job in jobs:
             told = self._told.setdefault(job.name, set())
@@ -310,17 +308,17 @@
         yield _Part(state=state, task=task, waiting=(), runs=(placed,))
 
 
-def _starts(hindrance: hindrances.Hindrance, now: float) -> bool:
+def _starts(hindrance: blockers.Hindrance, now: float) -> bool:
     """Return whether a start has only just begun."""
     under_way = hindrance.cause in (
-        hindrances.Cause.NO_RECORD,
-        hindrances.Cause.NO_CONFIRMATION,
+        blockers.Cause.NO_RECORD,
+        blockers.Cause.NO_CONFIRMATION,
     )
     return under_way and now - hindrance.since < START_S
 
 
 def _describe(
-    part: _Part, hindrance: hindrances.Hindrance, seconds: float
+    part: _Part, hindrance: blockers.Hindrance, seconds: float
 ) -> JobStanding:
     state = part.state
     return JobStanding(
