--- a/features/standing.feature
+++ b/features/standing.feature
@@ -5,12 +5,12 @@
 Feature: An owner says why a job stands still
 
   Scenario Outline: What keeps a job
-    Given a job of <job> on 2 workers, and <hindrance>
+    Given a job of <job> on 2 workers, and <blocker>  
     When the owner looks for 3 s
     Then it says "<cause>" and that the workers are "<workers>"
 
     Examples:
-      | job            | hindrance                    | cause                                       | workers                          |
+      | job            | blocker                      | cause                                       | workers                          |
       | 1 small task   | the queue is taken away      | its queue is not in the configuration       |                                  |
       | 1 small task   | the store takes no record    | its start is not yet in the store           | taking: 2                        |
       | 1 small task   | no worker confirms a start   | its start was ordered and not confirmed     | taking: 2                        |
--- a/features/steps/standing_steps.py
+++ b/features/steps/standing_steps.py
@@ -37,7 +37,7 @@
 
 
 def change_workers(**fields):
-    """Make a hindrance that changes both workers before the job is planned."""
+    """Make a blocker that changes both workers before the job is planned."""
 
     def apply(context):
         for name in NAMES:
@@ -96,7 +96,7 @@
         context.bench.end_life(name)
 
 
-HINDRANCES = {
+BLOCKERS = {
     "the queue is taken away": lambda context: configure(context, None),
     "the store takes no record": lambda context: context.bench.planner.plan(
         context.bench.now, context.bench.now
@@ -119,16 +119,16 @@
 }
 
 
-@behave.given("a job of {job} on 2 workers, and {hindrance}")
-def make_job(context, job, hindrance):
+@behave.given("a job of {job} on 2 workers, and {blocker}")
+def make_job(context, job, blocker):
     context.bench = bench = benches.Bench(NAMES)
     context.answering = list(NAMES)
     context.state = bench.add(JOBS[job])
     context.watch = standing.Watch(
         bench.book, bench.planner, timing.FRESHNESS_S
     )
-    HINDRANCES[hindrance](context)
-    if hindrance == "the workers were never heard":
+    BLOCKERS[blocker](context)
+    if blocker == "the workers were never heard":
         context.answering.clear()
 
 
@@ -211,8 +211,8 @@
     (job,) = [job for look in context.looks for job in look.jobs]
     assert job.cause.value == cause, job
     assert job.task == str(context.order.task), job
-    assert job.hindrance.workers == (context.order.worker,), job
-    assert 0.0 < job.hindrance.proof_in < timing.WORKER_LEASE_S, job
+    assert job.blocker.workers == (context.order.worker,), job
+    assert 0.0 < job.blocker.proof_in < timing.WORKER_LEASE_S, job
 
 
 @behave.given(
--- a/src/rackvalve/manager/reporter.py
+++ b/src/rackvalve/manager/reporter.py
@@ -223,23 +223,23 @@
 
 def _log_job(job: standing.JobStanding) -> None:
     fields: dict[str, logs.Field] = {}
-    hindrance = job.hindrance
-    if hindrance.need is not None:
-        fields["cpu"] = hindrance.need.cpu
-        fields["memory"] = hindrance.need.memory
-        fields["gpu"] = hindrance.need.gpu
-    if hindrance.workers:
-        fields["workers"] = list(hindrance.workers[:WORKERS_MOST])
-    if hindrance.proof_in is not None:
-        fields["proof_in"] = round(hindrance.proof_in, 3)
-    if hindrance.awaited is not None:
-        fields["awaited"] = hindrance.awaited.value
+    blocker = job.blocker
+    if blocker.need is not None:
+        fields["cpu"] = blocker.need.cpu
+        fields["memory"] = blocker.need.memory
+        fields["gpu"] = blocker.need.gpu
+    if blocker.workers:
+        fields["workers"] = list(blocker.workers[:WORKERS_MOST])
+    if blocker.proof_in is not None:
+        fields["proof_in"] = round(blocker.proof_in, 3)
+    if blocker.awaited is not None:
+        fields["awaited"] = blocker.awaited.value
     logs.write_event(
         "job.standing",
         job=job.job,
         task=job.task,
         queue=job.queue,
-        pool=hindrance.pool,
+        pool=blocker.pool,
         workspace=job.workspace,
         reason=job.cause.value,
         seconds=round(job.seconds, 3),
--- a/src/rackvalve/scheduling/blockers.py
+++ b/src/rackvalve/scheduling/blockers.py
@@ -63,7 +63,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class Hindrance:
+class Blocker:
     """What keeps a job's tasks.
 
     :param cause: Why.
@@ -242,7 +242,7 @@
         state: progress.JobState,
         waiting: Collection[definition.TaskName],
         runs: Sequence[workers.PlacedRun],
-    ) -> Hindrance | None:
+    ) -> Blocker | None:
         """Find what keeps tasks of which nothing is at work.
 
         :param state: Their job.
@@ -252,7 +252,7 @@
         """
         queue = self._book.queues.get(state.queue)
         if queue is None:
-            return Hindrance(cause=Cause.NO_QUEUE, since=self._now)
+            return Blocker(cause=Cause.NO_QUEUE, since=self._now)
         under_way = self._find_start(runs, queue.pool)
         if under_way is not None:
             return under_way
@@ -264,7 +264,7 @@
         if runs and unclear:
             return self._find_proof(runs, queue.pool)
         if found is None and not waiting and not state.job.repetitions:
-            return Hindrance(
+            return Blocker(
                 cause=Cause.FORGOTTEN, since=self._now, pool=queue.pool
             )
         return found
@@ -277,7 +277,7 @@
 
     def _find_start(
         self, runs: Sequence[workers.PlacedRun], pool: str
-    ) -> Hindrance | None:
+    ) -> Blocker | None:
         """Find a start that is under way."""
         planned = [
             placed.run.since
@@ -285,13 +285,13 @@
             if placed.run.stage is progress.Stage.PLANNED
         ]
         if planned:
-            return Hindrance(
+            return Blocker(
                 cause=Cause.NO_RECORD, since=min(planned), pool=pool
             )
         ordered = [placed for placed in runs if self._answers(placed)]
         if not ordered:
             return None
-        return Hindrance(
+        return Blocker(
             cause=Cause.NO_CONFIRMATION,
             since=min(placed.run.since for placed in ordered),
             pool=pool,
@@ -303,7 +303,7 @@
         state: progress.JobState,
         waiting: Collection[definition.TaskName],
         queue: queues.Queue,
-    ) -> Hindrance | None:
+    ) -> Blocker | None:
         """Find what keeps the smallest task that waits."""
         # The first of each step stands for the others: a job may have
         # thousands of tasks.
@@ -316,7 +316,7 @@
             return None
         first = min(ready.values(), key=lambda name: _size(state, name))
         need = fleet.need_of(state.step_of(first))
-        return Hindrance(
+        return Blocker(
             cause=self._judge_task(state, queue, first, need),
             since=self._now,
             pool=queue.pool,
@@ -355,7 +355,7 @@
 
     def _find_proof(
         self, runs: Sequence[workers.PlacedRun], pool: str
-    ) -> Hindrance:
+    ) -> Blocker:
         """Tell whose word is awaited on runs that may still be there."""
         names = tuple({placed.run.worker: None for placed in runs})
         found = [
@@ -367,14 +367,14 @@
             found, key=lambda worker: worker.lease_expiry, default=None
         )
         if first is None:
-            return Hindrance(
+            return Blocker(
                 cause=Cause.NO_PROOF,
                 since=self._now,
                 pool=pool,
                 workers=names,
             )
         answered = min(worker.last_answer_at for worker in found)
-        return Hindrance(
+        return Blocker(
             cause=Cause.NO_PROOF,
             since=max(self._book.owned_since, answered),
             pool=pool,
--- a/src/rackvalve/scheduling/standing.py
+++ b/src/rackvalve/scheduling/standing.py
@@ -66,7 +66,7 @@
     :param accepted: When it was accepted, seconds since 1970.
     :param seconds: For how long at least, in seconds.
     :param waiting: How many of its tasks wait.
-    :param hindrance: What keeps it.
+    :param blocker: What keeps it.
     """
 
     job: str
@@ -76,12 +76,12 @@
     accepted: float
     seconds: float
     waiting: int
-    hindrance: blockers.Hindrance
+    blocker: blockers.Blocker
 
     @property
     def cause(self) -> blockers.Cause:
         """Why it stands."""
-        return self.hindrance.cause
+        return self.blocker.cause
 
     @property
     def name(self) -> str:
@@ -185,7 +185,7 @@
         standing = self._find_all(judge, now)
         by_pool: dict[str, list[JobStanding]] = {}
         for job in standing:
-            by_pool.setdefault(job.hindrance.pool, []).append(job)
+            by_pool.setdefault(job.blocker.pool, []).append(job)
         pools = [
             self._sum_up(judge, pool, jobs) for pool, jobs in by_pool.items()
         ]
@@ -214,13 +214,13 @@
                 continue
             runs = idle.get(state.identity, [])
             for part in _find_parts(state, runs, state.identity in at_work):
-                hindrance = judge.find(state, part.waiting, part.runs)
-                if hindrance is None:
+                blocker = judge.find(state, part.waiting, part.runs)
+                if blocker is None:
                     continue
-                began = self._find_beginning(part, hindrance)
+                began = self._find_beginning(part, blocker)
                 since[part.name] = began
-                if now - began >= STANDING_S and not _starts(hindrance, now):
-                    found.append(_describe(part, hindrance, now - began))
+                if now - began >= STANDING_S and not _starts(blocker, now):
+                    found.append(_describe(part, blocker, now - began))
         self._since = since
         return sorted(found, key=lambda job: -job.seconds)
 
@@ -238,18 +238,16 @@
                     idle.setdefault(placed.state.identity, []).append(placed)
         return at_work, idle
 
-    def _find_beginning(
-        self, part: _Part, hindrance: blockers.Hindrance
-    ) -> float:
+    def _find_beginning(self, part: _Part, blocker: blockers.Blocker) -> float:
         known = self._since.get(part.name)
         if known is not None and part.name not in self._ended:
             return known
         state = part.state
         if state.next_run == 1:
             # A task that is repeated is due long after its job has come.
-            return hindrance.since if state.job.repetitions else state.arrived
+            return blocker.since if state.job.repetitions else state.arrived
         # At the last look something of it was at work.
-        return max(hindrance.since, self._looked)
+        return max(blocker.since, self._looked)
 
     def _sum_up(
         self, judge: blockers.Judge, pool: str, jobs: list[JobStanding]
@@ -308,17 +306,17 @@
         yield _Part(state=state, task=task, waiting=(), runs=(placed,))
 
 
-def _starts(hindrance: blockers.Hindrance, now: float) -> bool:
+def _starts(blocker: blockers.Blocker, now: float) -> bool:
     """Return whether a start has only just begun."""
-    under_way = hindrance.cause in (
+    under_way = blocker.cause in (
         blockers.Cause.NO_RECORD,
         blockers.Cause.NO_CONFIRMATION,
     )
-    return under_way and now - hindrance.since < START_S
+    return under_way and now - blocker.since < START_S
 
 
 def _describe(
-    part: _Part, hindrance: blockers.Hindrance, seconds: float
+    part: _Part, blocker: blockers.Blocker, seconds: float
 ) -> JobStanding:
     state = part.state
     return JobStanding(
@@ -329,5 +327,5 @@
         accepted=state.accepted,
         seconds=seconds,
         waiting=len(part.waiting),
-        hindrance=hindrance,
+        blocker=blocker,
     )
