--- a/features/standing.feature
+++ b/features/standing.feature
@@ -5,7 +5,7 @@
 Feature: An owner says why a job stands still
 
   Scenario Outline: What keeps a job
-    Given a job of <job> on 2 workers, and <blocker>  
+    Given a job of <job> on 2 workers, and <blocker>
     When the owner looks for 3 s
     Then it says "<cause>" and that the workers are "<workers>"
 
--- a/features/steps/isolation_steps.py
+++ b/features/steps/isolation_steps.py
@@ -345,12 +345,12 @@
 )
 def check_told(context):
     bench = context.bench
-    judge = blockers.Judge(
+    finder = blockers.BlockerFinder(
         bench.book, bench.planner, bench.now, timing.FRESHNESS_S
     )
-    found = judge.find(context.others, context.others.waiting, ())
+    found = finder.find(context.others, context.others.waiting, ())
     assert found.cause is blockers.Cause.NO_ROOM, found
-    counts = judge.pool(models.POOL).counts
+    counts = finder.pool(models.POOL).counts
     assert counts == {blockers.Availability.KEPT: 1}, counts
 
 
--- a/src/rackvalve/scheduling/blockers.py
+++ b/src/rackvalve/scheduling/blockers.py
@@ -185,7 +185,7 @@
         )
 
 
-class Judge:
+class BlockerFinder:
     """Finds what keeps jobs, at one moment.
 
     :param book: The book.
--- a/src/rackvalve/scheduling/standing.py
+++ b/src/rackvalve/scheduling/standing.py
@@ -181,13 +181,15 @@
 
         :param now: Present time, in seconds.
         """
-        judge = blockers.Judge(self._book, self._planner, now, self._freshness)
-        standing = self._find_all(judge, now)
+        finder = blockers.BlockerFinder(
+            self._book, self._planner, now, self._freshness
+        )
+        standing = self._find_all(finder, now)
         by_pool: dict[str, list[JobStanding]] = {}
         for job in standing:
             by_pool.setdefault(job.blocker.pool, []).append(job)
         pools = [
-            self._sum_up(judge, pool, jobs) for pool, jobs in by_pool.items()
+            self._sum_up(finder, pool, jobs) for pool, jobs in by_pool.items()
         ]
         told: list[JobStanding] = []
         for jobs in by_pool.values():
@@ -199,10 +201,10 @@
         )
 
     def _find_all(
-        self, judge: blockers.Judge, now: float
+        self, finder: blockers.BlockerFinder, now: float
     ) -> list[JobStanding]:
         """Return the jobs that stand, those that stand longest first."""
-        at_work, idle = self._sort_runs(judge)
+        at_work, idle = self._sort_runs(finder)
         since: dict[str, float] = {}
         found: list[JobStanding] = []
         self._unjudged = 0
@@ -214,7 +216,7 @@
                 continue
             runs = idle.get(state.identity, [])
             for part in _find_parts(state, runs, state.identity in at_work):
-                blocker = judge.find(state, part.waiting, part.runs)
+                blocker = finder.find(state, part.waiting, part.runs)
                 if blocker is None:
                     continue
                 began = self._find_beginning(part, blocker)
@@ -225,14 +227,14 @@
         return sorted(found, key=lambda job: -job.seconds)
 
     def _sort_runs(
-        self, judge: blockers.Judge
+        self, finder: blockers.BlockerFinder
     ) -> tuple[set[str], dict[str, list[workers.PlacedRun]]]:
         """Return jobs with something at work, and other runs by job."""
         at_work: set[str] = set()
         idle: dict[str, list[workers.PlacedRun]] = {}
         for worker in self._book.workers.values():
             for placed in worker.runs.values():
-                if judge.is_at_work(placed):
+                if finder.is_at_work(placed):
                     at_work.add(placed.state.identity)
                 else:
                     idle.setdefault(placed.state.identity, []).append(placed)
@@ -250,14 +252,17 @@
         return max(blocker.since, self._looked)
 
     def _sum_up(
-        self, judge: blockers.Judge, pool: str, jobs: list[JobStanding]
+        self,
+        finder: blockers.BlockerFinder,
+        pool: str,
+        jobs: list[JobStanding],
     ) -> PoolStanding:
         return PoolStanding(
             pool=pool,
             causes=collections.Counter(job.cause for job in jobs),
             oldest=jobs[0],
             overtaken=self._count_later(jobs[0]),
-            workers=judge.pool(pool).counts,
+            workers=finder.pool(pool).counts,
         )
 
     def _count_later(self, job: JobStanding) -> int:
