--- a/src/rackvalve/scheduling/blockers.py
+++ b/src/rackvalve/scheduling/blockers.py
@@ -84,7 +84,7 @@
     awaited: Awaited | None = None
 
 
-def availability(
+def find_availability(
     worker: workers.WorkerState, now: float, freshness: float
 ) -> Availability:
     """Return whether a worker takes work, and why not.
@@ -140,7 +140,7 @@
         taking = {worker.identity for worker in self._members}
         self.counts: collections.Counter[Availability] = collections.Counter()
         for worker in known:
-            kind = availability(worker, now, freshness)
+            kind = find_availability(worker, now, freshness)
             if worker.identity in taking:
                 kind = Availability.TAKING
             elif worker.identity in names:
