--- a/features/steps/isolation_steps.py
+++ b/features/steps/isolation_steps.py
@@ -351,7 +351,7 @@
     found = finder.find(context.others, context.others.waiting, ())
     assert found.cause is blockers.Cause.NO_ROOM, found
     counts = finder.pool(models.POOL).counts
-    assert counts == {blockers.Availability.KEPT: 1}, counts
+    assert counts == {blockers.Availability.RESERVED: 1}, counts
 
 
 @behave.given(
--- a/src/rackvalve/scheduling/blockers.py
+++ b/src/rackvalve/scheduling/blockers.py
@@ -44,14 +44,14 @@
     """Whether a worker takes work, and why not."""
 
     TAKING = "taking"
-    PASSED_OVER = "slow"
+    SLOW = "slow"
     WAVE = "closed for a wave"
     SURPLUS = "closed as surplus"
-    KEPT = "kept for a task under which workers crashed"
+    RESERVED = "kept for a task under which workers crashed"
     EVACUATED = "in a hall that is evacuated"
     DRAINING = "draining"
     SILENT = "silent"
-    UNASKED = "not yet heard by this owner"
+    NOT_HEARD = "not yet heard by this owner"
     NO_ENTRY = "without entry"
 
 
@@ -96,7 +96,7 @@
     if worker.entry is None or worker.entry_missing_since is not None:
         return Availability.NO_ENTRY
     if not worker.established:
-        return Availability.UNASKED
+        return Availability.NOT_HEARD
     if now - worker.last_answer_at > freshness:
         return Availability.SILENT
     if worker.entry.draining:
@@ -144,9 +144,9 @@
             if worker.identity in taking:
                 kind = Availability.TAKING
             elif worker.identity in names:
-                kind = Availability.KEPT
+                kind = Availability.RESERVED
             elif kind is Availability.TAKING:
-                kind = Availability.PASSED_OVER
+                kind = Availability.SLOW
             self.counts[kind] += 1
         # What fits into none of these fits nowhere: a few rooms stand for
         # hundreds of workers, whose jobs may wait in thousands.
@@ -157,7 +157,7 @@
     @property
     def takes_work(self) -> bool:
         """Whether any worker takes work."""
-        kinds = (Availability.TAKING, Availability.KEPT)
+        kinds = (Availability.TAKING, Availability.RESERVED)
         return any(self.counts[kind] for kind in kinds)
 
     def has_room(
