--- a/features/steps/standing_steps.py
+++ b/features/steps/standing_steps.py
@@ -18,7 +18,7 @@
 from rackvalve.manager import timing
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import queues
-from rackvalve.scheduling import standing
+from rackvalve.scheduling import stalls
 from rackvalve.scheduling import upkeep
 from rackvalve import telemetry as telemetries
 from rackvalve.workspaces import account
@@ -124,9 +124,7 @@
     context.bench = bench = benches.Bench(NAMES)
     context.answering = list(NAMES)
     context.state = bench.add(JOBS[job])
-    context.watch = standing.Watch(
-        bench.book, bench.planner, timing.FRESHNESS_S
-    )
+    context.watch = stalls.Watch(bench.book, bench.planner, timing.FRESHNESS_S)
     BLOCKERS[blocker](context)
     if blocker == "the workers were never heard":
         context.answering.clear()
--- a/src/rackvalve/manager/reporter.py
+++ b/src/rackvalve/manager/reporter.py
@@ -13,7 +13,7 @@
 from rackvalve.scheduling import planner as planners
 from rackvalve.scheduling import releases
 from rackvalve.scheduling import reports
-from rackvalve.scheduling import standing
+from rackvalve.scheduling import stalls
 from rackvalve import telemetry as telemetries
 
 # Workers that a line names at most.
@@ -52,7 +52,7 @@
         self._telemetry = telemetry
         # When workspaces at their bounds were told of last, in seconds.
         self._held_at = float("-inf")
-        self._standing = standing.Watch(book, planner, timing.FRESHNESS_S)
+        self._standing = stalls.Watch(book, planner, timing.FRESHNESS_S)
         # When jobs that stand still were looked for last, in seconds.
         self._standing_at = float("-inf")
 
@@ -204,7 +204,7 @@
             _log_job(job)
 
 
-def _log_pool(pool: standing.PoolStanding, unjudged: int) -> None:
+def _log_pool(pool: stalls.PoolStanding, unjudged: int) -> None:
     logs.write_event(
         "pool.standing",
         pool=pool.pool,
@@ -221,7 +221,7 @@
     )
 
 
-def _log_job(job: standing.JobStanding) -> None:
+def _log_job(job: stalls.JobStanding) -> None:
     fields: dict[str, logs.Field] = {}
     blocker = job.blocker
     if blocker.need is not None:
