--- a/features/steps/standing_steps.py
+++ b/features/steps/standing_steps.py
@@ -124,7 +124,9 @@
     context.bench = bench = benches.Bench(NAMES)
     context.answering = list(NAMES)
     context.state = bench.add(JOBS[job])
-    context.watch = stalls.Watch(bench.book, bench.planner, timing.FRESHNESS_S)
+    context.detector = stalls.StallDetector(
+        bench.book, bench.planner, timing.FRESHNESS_S
+    )
     BLOCKERS[blocker](context)
     if blocker == "the workers were never heard":
         context.answering.clear()
@@ -149,7 +151,7 @@
     context.looks = []
     for _ in range(3):
         pass_second(context)
-        context.looks.append(context.watch.look(context.bench.now))
+        context.looks.append(context.detector.scan(context.bench.now))
 
 
 @behave.then('it says "{cause}" and that the workers are "{workers}"')
@@ -188,7 +190,7 @@
     for name in NAMES:
         context.bench.report(name)
     context.bench.plan()
-    context.looks = [context.watch.look(context.bench.now)]
+    context.looks = [context.detector.scan(context.bench.now)]
 
 
 @behave.when("the run ends and the next one has not begun at the next look")
@@ -196,10 +198,10 @@
     for name in NAMES:
         context.bench.report(name)
     (end,) = context.bench.handler.ended
-    context.watch.note_end(end.task)
+    context.detector.note_end(end.task)
     assert context.state.waiting
-    look_once = context.watch.look(context.bench.now + 1.0)
-    context.looks = [look_once, context.watch.look(context.bench.now + 2.0)]
+    look_once = context.detector.scan(context.bench.now + 1.0)
+    context.looks = [look_once, context.detector.scan(context.bench.now + 2.0)]
 
 
 @behave.then(
--- a/src/rackvalve/manager/reporter.py
+++ b/src/rackvalve/manager/reporter.py
@@ -35,7 +35,7 @@
         "_planner",
         "_telemetry",
         "_held_at",
-        "_standing",
+        "_stalls",
         "_standing_at",
     )
 
@@ -52,7 +52,7 @@
         self._telemetry = telemetry
         # When workspaces at their bounds were told of last, in seconds.
         self._held_at = float("-inf")
-        self._standing = stalls.Watch(book, planner, timing.FRESHNESS_S)
+        self._stalls = stalls.StallDetector(book, planner, timing.FRESHNESS_S)
         # When jobs that stand still were looked for last, in seconds.
         self._standing_at = float("-inf")
 
@@ -144,7 +144,7 @@
         """Tell of the ends that were handled since the last time."""
         for end in self._handler.ended:
             if end.counted:
-                self._standing.note_end(end.task)
+                self._stalls.note_end(end.task)
             self._telemetry.runs_ended.labels(end.cause).inc()
             logs.write_event(
                 "run.ended",
@@ -193,7 +193,7 @@
         if now - self._standing_at < timing.SIZES_LOG_INTERVAL_S:
             return
         self._standing_at = now
-        found = self._standing.look(now)
+        found = self._stalls.scan(now)
         counts = found.count()
         for cause in blockers.Cause:
             gauge = self._telemetry.jobs_standing.labels(cause.value)
--- a/src/rackvalve/scheduling/stalls.py
+++ b/src/rackvalve/scheduling/stalls.py
@@ -130,7 +130,7 @@
         return total
 
 
-class Watch:
+class StallDetector:
     """Looks for jobs that stand still.
 
     :param book: The book.
@@ -176,7 +176,7 @@
         self._ended.add(task)
         self._ended.add(task.partition(".")[0])
 
-    def look(self, now: float) -> Found:
+    def scan(self, now: float) -> Found:
         """Find all jobs that stand still.
 
         :param now: Present time, in seconds.
