--- a/src/rackvalve/manager/reporter.py
+++ b/src/rackvalve/manager/reporter.py
@@ -221,7 +221,7 @@
     )
 
 
-def _log_job(job: stalls.JobStanding) -> None:
+def _log_job(job: stalls.StalledJob) -> None:
     fields: dict[str, logs.Field] = {}
     blocker = job.blocker
     if blocker.need is not None:
--- a/src/rackvalve/scheduling/stalls.py
+++ b/src/rackvalve/scheduling/stalls.py
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class JobStanding:
+class StalledJob:
     """A job, or one task of a job that lasts, that stands still.
 
     :param job: Its identifier.
@@ -103,7 +103,7 @@
 
     pool: str
     causes: collections.Counter[blockers.Cause]
-    oldest: JobStanding
+    oldest: StalledJob
     overtaken: int
     workers: collections.Counter[blockers.Availability]
 
@@ -119,7 +119,7 @@
     """
 
     pools: tuple[PoolStanding, ...]
-    jobs: tuple[JobStanding, ...]
+    jobs: tuple[StalledJob, ...]
     unjudged: int
 
     def count(self) -> collections.Counter[blockers.Cause]:
@@ -185,13 +185,13 @@
             self._book, self._planner, now, self._freshness
         )
         standing = self._find_all(finder, now)
-        by_pool: dict[str, list[JobStanding]] = {}
+        by_pool: dict[str, list[StalledJob]] = {}
         for job in standing:
             by_pool.setdefault(job.blocker.pool, []).append(job)
         pools = [
             self._sum_up(finder, pool, jobs) for pool, jobs in by_pool.items()
         ]
-        told: list[JobStanding] = []
+        told: list[StalledJob] = []
         for jobs in by_pool.values():
             told.extend(self._choose(jobs))
         self._forget_ended()
@@ -202,11 +202,11 @@
 
     def _find_all(
         self, finder: blockers.BlockerFinder, now: float
-    ) -> list[JobStanding]:
+    ) -> list[StalledJob]:
         """Return the jobs that stand, those that stand longest first."""
         at_work, idle = self._sort_runs(finder)
         since: dict[str, float] = {}
-        found: list[JobStanding] = []
+        found: list[StalledJob] = []
         self._unjudged = 0
         for state in self._book.open_jobs.values():
             if now - state.arrived < STANDING_S:
@@ -255,7 +255,7 @@
         self,
         finder: blockers.BlockerFinder,
         pool: str,
-        jobs: list[JobStanding],
+        jobs: list[StalledJob],
     ) -> PoolStanding:
         return PoolStanding(
             pool=pool,
@@ -265,7 +265,7 @@
             workers=finder.pool(pool).counts,
         )
 
-    def _count_later(self, job: JobStanding) -> int:
+    def _count_later(self, job: StalledJob) -> int:
         return sum(
             1
             for state in self._book.jobs.values()
@@ -274,10 +274,10 @@
             and state.accepted > job.accepted
         )
 
-    def _choose(self, jobs: list[JobStanding]) -> list[JobStanding]:
+    def _choose(self, jobs: list[StalledJob]) -> list[StalledJob]:
         """Choose of which jobs of a pool to tell."""
         counts: collections.Counter[blockers.Cause] = collections.Counter()
-        chosen: list[JobStanding] = []
+        chosen: list[StalledJob] = []
         for job in jobs:
             told = self._told.setdefault(job.name, set())
             if job.cause in told or counts[job.cause] >= TOLD_MOST:
@@ -322,9 +322,9 @@
 
 def _describe(
     part: _Part, blocker: blockers.Blocker, seconds: float
-) -> JobStanding:
+) -> StalledJob:
     state = part.state
-    return JobStanding(
+    return StalledJob(
         task=part.task,
         job=state.identity,
         queue=state.queue,
