--- a/src/rackvalve/manager/reporter.py
+++ b/src/rackvalve/manager/reporter.py
@@ -204,7 +204,7 @@
             _log_job(job)
 
 
-def _log_pool(pool: stalls.PoolStanding, unjudged: int) -> None:
+def _log_pool(pool: stalls.StalledPool, unjudged: int) -> None:
     logs.write_event(
         "pool.standing",
         pool=pool.pool,
--- a/src/rackvalve/scheduling/stalls.py
+++ b/src/rackvalve/scheduling/stalls.py
@@ -90,7 +90,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class PoolStanding:
+class StalledPool:
     """The jobs of one pool that stand still.
 
     :param pool: The pool; empty for jobs whose queue is not known.
@@ -118,7 +118,7 @@
         so many only.
     """
 
-    pools: tuple[PoolStanding, ...]
+    pools: tuple[StalledPool, ...]
     jobs: tuple[StalledJob, ...]
     unjudged: int
 
@@ -256,8 +256,8 @@
         finder: blockers.BlockerFinder,
         pool: str,
         jobs: list[StalledJob],
-    ) -> PoolStanding:
-        return PoolStanding(
+    ) -> StalledPool:
+        return StalledPool(
             pool=pool,
             causes=collections.Counter(job.cause for job in jobs),
             oldest=jobs[0],
