--- a/src/rackvalve/scheduling/stalls.py
+++ b/src/rackvalve/scheduling/stalls.py
@@ -109,7 +109,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class Found:
+class StallReport:
     """What one look has found.
 
     :param pools: Pools with jobs that stand.
@@ -176,7 +176,7 @@
         self._ended.add(task)
         self._ended.add(task.partition(".")[0])
 
-    def scan(self, now: float) -> Found:
+    def scan(self, now: float) -> StallReport:
         """Find all jobs that stand still.
 
         :param now: Present time, in seconds.
@@ -196,7 +196,7 @@
             told.extend(self._choose(jobs))
         self._forget_ended()
         self._looked = now
-        return Found(
+        return StallReport(
             pools=tuple(pools), jobs=tuple(told), unjudged=self._unjudged
         )
 
