--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -464,7 +464,7 @@
         wall = clocks.read_wall()
         for release in self._planner.stop_and_release(now, wall):
             self._reporter.log_release(release)
-        self._reporter.log_held(now)
+        self._reporter.log_bounds(now)
         self._roster.forget_gone(now)
         self._recorder.publish_waiting(now, wall, self._jobs.confirmed_at)
         self._recorder.collect(now, wall)
--- a/src/rackvalve/manager/reporter.py
+++ b/src/rackvalve/manager/reporter.py
@@ -102,7 +102,7 @@
             waited = clocks.read_steady() - state.arrived
             self._telemetry.job_wait.labels(state.queue).observe(waited)
 
-    def log_held(self, now: float) -> None:
+    def log_bounds(self, now: float) -> None:
         """Tell which workspaces are at their bounds, once a second.
 
         :param now: Present time, in seconds.
