--- a/features/steps/standing_steps.py
+++ b/features/steps/standing_steps.py
@@ -276,7 +276,7 @@
     with mock.patch.object(logs, "write_event") as written:
         for _ in range(3):
             pass_second(context)
-            context.reporter.log_standing(context.bench.now)
+            context.reporter.log_stalls(context.bench.now)
     context.lines = written.call_args_list
 
 
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -452,7 +452,7 @@
                 self._check(now)
             self._planner.plan(now, clocks.read_wall())
             # Room that is free before a plan is not free after it.
-            self._reporter.log_standing(now)
+            self._reporter.log_stalls(now)
             self._recorder.mark_changed()
             self._send_orders()
 
--- a/src/rackvalve/manager/reporter.py
+++ b/src/rackvalve/manager/reporter.py
@@ -36,7 +36,7 @@
         "_telemetry",
         "_held_at",
         "_stalls",
-        "_standing_at",
+        "_stalls_at",
     )
 
     def __init__(
@@ -54,7 +54,7 @@
         self._held_at = float("-inf")
         self._stalls = stalls.StallDetector(book, planner, timing.FRESHNESS_S)
         # When jobs that stand still were looked for last, in seconds.
-        self._standing_at = float("-inf")
+        self._stalls_at = float("-inf")
 
     def close(self) -> None:
         """Tell no more of what stood: another process may own."""
@@ -185,14 +185,14 @@
                 isolated_crashes=run.isolated_crashes,
             )
 
-    def log_standing(self, now: float) -> None:
+    def log_stalls(self, now: float) -> None:
         """Tell which jobs stand still, once a second.
 
         :param now: Present time, in seconds.
         """
-        if now - self._standing_at < timing.SIZES_LOG_INTERVAL_S:
+        if now - self._stalls_at < timing.SIZES_LOG_INTERVAL_S:
             return
-        self._standing_at = now
+        self._stalls_at = now
         found = self._stalls.scan(now)
         counts = found.count()
         for cause in blockers.Cause:
