--- a/src/rackvalve/scheduling/messages.py
+++ b/src/rackvalve/scheduling/messages.py
@@ -1,4 +1,4 @@
-"""What the scheduler wants done and what it is told, as values."""
+"""Orders that the scheduler sends to workers, and the workers' reports."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class StopRun:
-    """Stop a run on a worker, or reject it there if it comes later.
+    """Stop a run on a worker, which rejects its start if that comes later.
 
     :param worker: Identity of the worker.
     :param task: Full name of the task.
@@ -43,12 +43,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class SetPace:
-    """Let a run work at a share of its speed.
+    """Limit the speed of a run.
 
     :param worker: Identity of the worker.
     :param task: Full name of the task.
     :param run: Number of the run.
-    :param percent: The share, 0 to 100.
+    :param percent: Allowed share of its full speed, 0 to 100.
     """
 
     worker: str
@@ -58,12 +58,13 @@
 
 
 class StartResult(enum.Enum):
-    """What became of an order to start a run."""
+    """Result of an order to start a run."""
 
     STARTED = "started"
-    # The worker has no room; its own count differs from ours.
+    # The worker's own count of its free resources differs from the owner's.
     NO_ROOM = "no room"
-    # The run was stopped or has ended there; its end is, or was, listed.
+    # The run was stopped or has ended there; a report lists, or listed, its
+    # end.
     OUTDATED = "outdated"
     UNWELL = "unwell"
     TICKET = "ticket"
@@ -78,21 +79,21 @@
 
     DONE = "done"
     FAILED = "failed"
-    # It did not end by itself: stopped, lapsed, or without its gang.
+    # It was stopped, its lease lapsed, or a task of its gang was missing.
     CUT_SHORT = "cut short"
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class RunningRow:
-    """A run that the worker has.
+    """A run that a report lists as present on the worker.
 
     :param task: Full name of the task.
     :param run: Number of the run.
     :param checkpoint: Newest checkpoint, empty for none.
-    :param percent: Part of the work that is done; 100 for a task that lasts
-        and is at work.
-    :param load: Tail of a serving task's answers in milliseconds, else cpu
-        in use in thousandths of a core.
+    :param percent: Share of the work that is done; 100 for a lasting task
+        that is ready.
+    :param load: Tail latency of a serving task in milliseconds, else cpu in
+        use in thousandths of a core.
     """
 
     task: str
@@ -104,13 +105,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class EndedRow:
-    """A run that has ended on the worker.
+    """A run that a report lists as ended.
 
-    :param number: Rises by one with each end of the worker's life.
+    :param number: Rises by one with each end in the worker's incarnation.
     :param task: Full name of the task.
     :param run: Number of the run.
     :param ending: How it ended.
-    :param cause: The worker's own word for it, for logs.
+    :param cause: Cause as the worker names it, for logs.
     :param checkpoint: Newest checkpoint, empty for none.
     """
 
@@ -124,13 +125,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Report:
-    """What a worker answered to a hold.
+    """A worker's answer to a hold.
 
     :param sent: When the hold was sent, in seconds.
-    :param running: What runs.
-    :param ended: What ended and was not acknowledged.
-    :param clock: What the worker's steady clock showed, in seconds: how long
-        this life has lasted at least; endless if that is not known.
+    :param running: Runs that the worker has.
+    :param ended: Runs that ended and are not acknowledged.
+    :param clock: Reading of the worker's steady clock, in seconds: least age
+        of this incarnation; infinite if it is not known.
     """
 
     sent: float
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -1,4 +1,4 @@
-"""One life of a worker as the owner sees it, and the lease on what runs."""
+"""State that an owner keeps of one incarnation of a worker, with its lease."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from rackvalve.jobs import progress
 from rackvalve.scheduling import fleet
 
-# How much slower than ours a worker's clock may run; the platform's pages
-# give 2 %, one more is margin.
+# Share by which a worker's clock may be slower than the owner's: 2 % as the
+# platform documents, and 1 % margin.
 CLOCK_TOLERANCE = 0.03
-# Against late timers on both sides, in seconds.
+# Margin for late timers on both sides, in seconds.
 LEASE_MARGIN_S = 0.3
 
 RunKey = tuple[str, int]
@@ -21,7 +21,7 @@
     :param state: The job.
     :param task: The task.
     :param run: The run.
-    :param need: The room that it takes.
+    :param need: Resources that it takes.
     """
 
     __slots__ = ("state", "task", "run", "need", "step")
@@ -40,18 +40,18 @@
 
     @property
     def full_name(self) -> str:
-        """The task's name as workers know it."""
+        """The task's name in calls to workers."""
         return f"{self.state.identity}.{self.task.name}"
 
 
 class WorkerState:
-    """One life of a worker.
+    """State of one incarnation of a worker.
 
-    :param identity: Identity of the life.
-    :param entry: What it says of itself; ``None`` if only a job's record
+    :param identity: Identity of the incarnation.
+    :param entry: Its entry in the store; ``None`` if only a job's record
         names it.
-    :param lease_expiry: When all that an earlier owner may have let run there
-        is over, on our steady clock.
+    :param lease_expiry: When the runs that an earlier owner may have started
+        there are over, on this process's steady clock.
     """
 
     __slots__ = (
@@ -88,52 +88,53 @@
     ) -> None:
         self.identity = identity
         self.life = lives.read_life(identity)
-        # Whether a later life has answered in its place.
+        # Whether a later incarnation has answered in its place.
         self.replaced = False
         self.entry = entry
-        # Where it can be asked, by its entry or else by a job's record.
+        # Its address, from its entry or else from a job's record.
         self.location = entry.location if entry is not None else None
         self.free = entry.capacity if entry is not None else fleet.EMPTY
         self.runs: dict[RunKey, PlacedRun] = {}
-        # Those of them under whose tasks workers have crashed.
+        # Runs whose task, or a job that runs the same, has crashed workers.
         self.suspects: dict[RunKey, PlacedRun] = {}
-        # Whether it has taken our fencing token and told what runs.
+        # Whether it has accepted the fencing token and reported its runs.
         self.established = False
-        # No earlier than this did it begin, in seconds.
+        # The incarnation did not start before this time, in seconds.
         self.earliest_start = float("-inf")
-        # When all stops of earlier owners have ended.
+        # When all stops that earlier owners ordered have ended, in seconds.
         self.inherited_stops_end = float("inf")
-        # When its last answer to a hold came, and the time that it tells of.
+        # When its last answer to a hold came, and the latest time at which it
+        # is known to have lived, in seconds.
         self.last_answer_at = float("-inf")
         self.last_alive_at = float("-inf")
         self.lease_expiry = lease_expiry
-        # Number of the last end that was handled.
+        # Number of the last reported end that was handled.
         self.handled = 0
-        # Ends handled and not yet in the store, with the write that will hold
-        # what they changed; ``None`` until that write is marked.
+        # Ends that are handled and not yet in the store, each with the number
+        # of the write that records it; ``None`` until that write is queued.
         self.unrecorded: list[tuple[int, int | None]] = []
-        # Since when its entry is missing in the store.
+        # When its entry was first missing in the store, in seconds.
         self.entry_missing_since: float | None = None
         self.backoff_until = 0.0
-        # Failed runs since the last good one.
+        # Failed runs since the last successful one.
         self.failures = 0
-        # Why it takes no more work, empty while it does.
+        # Why it is closed to new runs; empty while it is open.
         self.close_reason = ""
-        # Whether nothing more is to be sent to its hall.
+        # Whether its hall is evacuated, so that it gets no new runs.
         self.evacuated = False
         # Whether its VM is still to be maintained.
         self.maintenance_pending = False
-        # Whether its VM was, or may have been, told to move or to be
-        # maintained while it lived there.
+        # Whether a move or maintenance of its VM was, or may have been,
+        # ordered during this incarnation.
         self.ordered_away = False
-        # How much longer than elsewhere its tasks take.
+        # Duration of its tasks as a multiple of that on other workers.
         self.slowness = 1.0
         self.slow_until = float("-inf")
-        # When it was last looked at for that.
+        # When its speed was last compared with others, in seconds.
         self.speed_checked_at = float("-inf")
 
     def set_entry(self, entry: fleet.Entry) -> None:
-        """Take what the worker says of itself now.
+        """Replace the entry; free resources follow a new capacity.
 
         :param entry: Its newest entry.
         """
@@ -144,7 +145,7 @@
         self.entry_missing_since = None
 
     def add(self, placed: PlacedRun) -> None:
-        """Count a run against the room.
+        """Add a run and subtract what it needs from the free resources.
 
         :param placed: The run.
         """
@@ -155,7 +156,7 @@
         self.free = self.free.minus(placed.need)
 
     def drop(self, placed: PlacedRun) -> None:
-        """Give a run's room back.
+        """Remove a run and free its resources.
 
         :param placed: The run.
         """
@@ -165,10 +166,10 @@
             self.free = self.free.plus(placed.need)
 
     def note_extension(self, now: float, length: float) -> None:
-        """Note that the lease may last longer from a call that is sent now.
+        """Move the lease's expiry for a call that extends it and is sent now.
 
         :param now: Present time, in seconds.
-        :param length: What the call asks for, in seconds.
+        :param length: Length of the lease that the call requests, in seconds.
         """
         over = now + length * (1 + CLOCK_TOLERANCE) + LEASE_MARGIN_S
         self.lease_expiry = max(self.lease_expiry, over)
@@ -176,15 +177,15 @@
     def note_established(
         self, now: float, length: float, settling: float
     ) -> None:
-        """Note that the worker has taken our fencing token.
+        """Note that the worker has accepted this owner's fencing token.
 
-        From then on no earlier owner can extend its lease; what they asked
-        for lasts no longer than a lease that begins now.
+        Earlier owners can no longer extend its lease; the leases that they
+        requested end no later than one that begins now.
 
         :param now: Present time, in seconds.
         :param length: Length of a lease, in seconds.
-        :param settling: How long a stop takes at most that an earlier owner
-            may have ordered just before, in seconds.
+        :param settling: Longest time that a stop takes, in seconds; an earlier
+            owner may have ordered one just before.
         """
         self.established = True
         self.inherited_stops_end = now + settling
@@ -192,24 +193,24 @@
         self.note_extension(now, length)
 
     def note_lost(self) -> None:
-        """Note that the worker's life is over, whatever leases it had.
+        """Note that the incarnation is over, whatever leases it had.
 
-        It gets no work from then on, however short ago its last answer was.
+        It gets no new runs, however recent its last answer is.
         """
         self.lease_expiry = float("-inf")
         self.last_answer_at = float("-inf")
 
     def is_expired(self, now: float) -> bool:
-        """Return whether all leases given so far are over.
+        """Return whether all leases of the worker have expired.
 
         :param now: Present time, in seconds.
         """
         return now >= self.lease_expiry
 
     def set_evacuated(self, halls: frozenset[str]) -> None:
-        """Take no work if its hall is among those that are evacuated.
+        """Set whether its hall is evacuated, so that it gets no new runs.
 
-        :param halls: Names of the halls.
+        :param halls: Names of the evacuated halls.
         """
         self.evacuated = self.entry is not None and self.entry.hall in halls
 
@@ -217,7 +218,7 @@
         """Return whether new runs may be placed on it.
 
         :param now: Present time, in seconds.
-        :param freshness: Longest time since its last answer, in seconds.
+        :param freshness: Longest accepted age of its last answer, in seconds.
         """
         return (
             self.entry is not None
@@ -231,7 +232,7 @@
         )
 
     def note_write(self, write: int) -> None:
-        """Note which write holds what the newest ends changed.
+        """Note which write records the newest ends.
 
         :param write: Number of the write.
         """
@@ -241,7 +242,7 @@
         ]
 
     def find_acknowledged(self, durable: int) -> int:
-        """Return the last end that the worker may forget.
+        """Return the number of the last end that the worker may discard.
 
         :param durable: Number of the last write that is in the store.
         """
