--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -28,14 +28,14 @@
 
 # Backoff of a worker after it rejected a start, in seconds: its free room
 # agrees with the owner's count again once runs being stopped have ended.
-REJECTION_PAUSES_S = {
+REJECTION_BACKOFFS_S = {
     messages.StartResult.NO_ROOM: 0.3,
     messages.StartResult.UNWELL: 2.0,
     messages.StartResult.NOT_SENT: 0.5,
     messages.StartResult.MALFORMED: 2.0,
 }
 # Delay before a task whose start was rejected is placed again, in seconds.
-REJECTED_DELAY_S = 0.02
+REJECTED_RETRY_DELAY_S = 0.02
 
 
 class Book:
@@ -371,13 +371,13 @@
             return
         worker = self.workers.get(run.worker)
         if worker is not None:
-            pause = REJECTION_PAUSES_S.get(result, 0.0)
+            pause = REJECTION_BACKOFFS_S.get(result, 0.0)
             worker.backoff_until = max(worker.backoff_until, now + pause)
         placed.task.avoid.add(run.worker)
         if uncertain:
             self.stop(placed.state, placed.task, run, result.value)
             return
-        self.release(placed, now, delay=REJECTED_DELAY_S)
+        self.release(placed, now, delay=REJECTED_RETRY_DELAY_S)
 
     def note_begun(self, state: progress.JobState) -> None:
         """Queue the log line that a job has begun, and write its record.
--- a/src/rackvalve/scheduling/endings.py
+++ b/src/rackvalve/scheduling/endings.py
@@ -1,4 +1,4 @@
-"""Ends of runs that no report will tell, by a proof about their worker."""
+"""Release of runs that are proved over without a report of their end."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     now: float,
     wall: float,
 ) -> releases.Release:
-    """Forget the runs of a worker that a proof has ended.
+    """Release all runs of a worker that are proved over.
 
     :param book: The book.
     :param worker: The worker.
-    :param proof: What proves that they are over.
+    :param proof: Reason why they are known to be over.
     :param now: Present time, in seconds.
     :param wall: Present time, seconds since 1970.
-    :return: What was released.
+    :return: The released runs.
     """
     ended = list(worker.runs.values())
     fate = releases.judge_fate(worker, proof)
@@ -33,27 +33,27 @@
         is_series = book.crash_history.series.note(worker.entry.pool, now)
     crashes.blame_all(ended, fate, now, is_series=is_series)
     for placed in ended:
-        # Failures of lasting tasks are not bounded.
+        # Failures of lasting tasks are not counted against a limit.
         if fate is releases.Fate.OUT_OF_REACH and not placed.step.lasting:
             placed.task.untold.add(placed.run.number)
     release = releases.make(worker, proof, now)
     for placed in ended:
         book.release(placed, now)
     for placed in ended:
-        _give_up(book, placed, wall)
+        _fail_if_crashing(book, placed, wall)
     return release
 
 
 def release_expired(
     book: books.Book, worker: workers.WorkerState, now: float, wall: float
 ) -> releases.Release:
-    """Forget the runs of a worker whose leases are over.
+    """Release all runs of a worker whose leases have expired.
 
     :param book: The book.
     :param worker: The worker.
     :param now: Present time, in seconds.
     :param wall: Present time, seconds since 1970.
-    :return: What was released.
+    :return: The released runs.
     """
     proof = releases.find_proof(worker)
     return release_all(book, worker, proof, now=now, wall=wall)
@@ -62,14 +62,14 @@
 def end_incarnation(
     book: books.Book, identity: str, proof: str, *, now: float, wall: float
 ) -> releases.Release | None:
-    """Forget a life of a worker that is over, and all its runs.
+    """Remove an incarnation of a worker that is over, and release its runs.
 
     :param book: The book.
-    :param identity: The life.
-    :param proof: What proves that it is over.
+    :param identity: Identity of the incarnation.
+    :param proof: Reason why it is known to be over.
     :param now: Present time, in seconds.
     :param wall: Present time, seconds since 1970.
-    :return: What was released; ``None`` for a life that is not known.
+    :return: The released runs; ``None`` if the incarnation is not known.
     """
     worker = book.remove_incarnation(identity)
     if worker is None:
@@ -77,8 +77,10 @@
     return release_all(book, worker, proof, now=now, wall=wall)
 
 
-def _give_up(book: books.Book, placed: workers.PlacedRun, wall: float) -> None:
-    """End a job if it has crashed workers that nothing else has crashed."""
+def _fail_if_crashing(
+    book: books.Book, placed: workers.PlacedRun, wall: float
+) -> None:
+    """Fail a job if it alone can have caused its workers' crashes."""
     task, state = placed.task, placed.state
     if state.is_final or not crashes.is_given_up(state, task):
         return
--- a/src/rackvalve/scheduling/index.py
+++ b/src/rackvalve/scheduling/index.py
@@ -1,4 +1,4 @@
-"""Workers by something that several of them share."""
+"""Index of workers by a key that several may share, such as their pool."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Index:
-    """Lives of workers by a key, those of one key as they came."""
+    """Incarnations of workers by key, each key's in the order of addition."""
 
     __slots__ = ("_rows",)
 
@@ -22,7 +22,7 @@
         self._rows.setdefault(key, {})[worker.identity] = worker
 
     def remove(self, key: str, worker: workers.WorkerState) -> None:
-        """Take a worker out, and its key with the last one.
+        """Remove a worker, and its key with the last worker.
 
         :param key: Its key.
         :param worker: The worker.
@@ -33,7 +33,7 @@
             self._rows.pop(key, None)
 
     def find(self, key: str) -> list[workers.WorkerState]:
-        """Return the workers of a key.
+        """Return the workers of a key, oldest addition first.
 
         :param key: The key.
         """
--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -1,4 +1,4 @@
-"""What a worker's report changes in the book."""
+"""Applies workers' reports to an owner's book."""
 
 from __future__ import annotations
 
@@ -15,29 +15,28 @@
 from rackvalve.scheduling import succession
 from rackvalve.scheduling import workers
 
-# A worker tells at most this many ends at once; with as many, more may come.
-ENDS_PER_REPORT = 500
-# A worker that has just failed a task gets no other one for this long
-# (seconds), doubled with each further failure in a row.  Tasks fail through
-# their own fault in a few of a thousand runs only.
-SUSPECT_FIRST_S = 1.0
-SUSPECT_MOST_S = 8.0
-# A task that lasts and ends at once is not started anew at full speed
-# (seconds).
-LASTING_PAUSE_S = 0.1
-# Weight of the newest time in the mean time of a queue's tasks.
+# A report lists at most this many ended runs; a full one may be incomplete.
+MAX_ENDS_PER_REPORT = 500
+# Backoff of a worker after a failed run, in seconds, doubled with each further
+# failure in a row: only a few runs in a thousand fail by the task's own fault.
+MIN_FAILURE_BACKOFF_S = 1.0
+MAX_FAILURE_BACKOFF_S = 8.0
+# Delay before the next run of a lasting task, in seconds: a task that ends at
+# once must not restart in a tight loop.
+LASTING_RESTART_DELAY_S = 0.1
+# Weight of the newest run in the moving mean of a queue's run durations.
 DURATION_WEIGHT = 0.1
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class RunEnded:
-    """What an end came to, for logs.
+    """A handled end of a run, for logs.
 
     :param worker: Identity of the worker.
     :param task: Full name of the task.
     :param run: Number of the run.
-    :param cause: Why or how it ended.
-    :param counted: Whether the end belonged to a run that was known.
+    :param cause: Why or how the run ended.
+    :param counted: Whether the run was known.
     """
 
     worker: str
@@ -52,10 +51,10 @@
 
     :param book: The book.
     :param lease: Length of a lease on a worker, in seconds.
-    :param settling: How long a stop takes at most, in seconds.
-    :param hold_wait: How long a worker waits with its answer to a hold at
-        most, in seconds.
-    :param hold_most: How long a hold takes at most, in seconds.
+    :param settling: Longest time that a stop takes, in seconds.
+    :param hold_wait: Longest time that a worker waits before it answers a
+        hold, in seconds.
+    :param hold_most: Longest time that a hold takes, in seconds.
     """
 
     __slots__ = (
@@ -82,9 +81,9 @@
         self._settling = settling
         self._hold_wait = hold_wait
         self._hold_most = hold_most
-        # Ends that were handled and not yet logged.
+        # Handled ends that are not logged yet.
         self.ended: list[RunEnded] = []
-        # What ended with earlier lives of workers, not yet taken up.
+        # Runs that ended with earlier incarnations, for the owner to collect.
         self.released: list[releases.Release] = []
 
     def apply(
@@ -102,9 +101,9 @@
         :param now: Present time, in seconds.
         :param wall: Present time, seconds since 1970.
         """
-        # One that is late by more has waited while this process stood still.
+        # A later answer has waited for this process while it was paused.
         worker.last_answer_at = min(now, report.sent + self._hold_most)
-        # After a pause of this process the answer tells of a time before it.
+        # After a pause of this process the answer describes a time before it.
         worker.last_alive_at = min(now, report.sent + self._hold_wait)
         self.released += succession.take_over(
             self._book, worker, report, now=now, wall=wall
@@ -114,7 +113,7 @@
                 continue
             worker.handled = row.number
             worker.unrecorded.append((row.number, None))
-            self._take_end(worker, row, now, wall)
+            self._apply_end(worker, row, now, wall)
         running = {(row.task, row.run): row for row in report.running}
         for key, placed in list(worker.runs.items()):
             listed = running.get(key)
@@ -124,16 +123,16 @@
                     self._book.note_begun(placed.state)
                 if crashes.clear(worker, placed, report.sent):
                     self._book.mark_changed(placed.state)
-            elif len(report.ended) < ENDS_PER_REPORT:
-                self._take_absence(worker, placed, report.sent, now)
+            elif len(report.ended) < MAX_ENDS_PER_REPORT:
+                self._release_unlisted(worker, placed, report.sent, now)
         for key in running:
             if key not in worker.runs:
-                self._stop_stray(worker, key)
+                self._stop_unknown(worker, key)
         if not worker.established:
             worker.note_established(now, self._lease, self._settling)
             worker.earliest_start = now - report.clock
 
-    def _take_end(
+    def _apply_end(
         self,
         worker: workers.WorkerState,
         row: messages.EndedRow,
@@ -141,7 +140,7 @@
         wall: float,
     ) -> None:
         placed = worker.runs.get((row.task, row.run))
-        found = placed is not None or self._find(row.task) is not None
+        found = placed is not None or self._find_task(row.task) is not None
         self.ended.append(
             RunEnded(
                 worker=worker.identity,
@@ -156,7 +155,7 @@
         if placed is not None:
             state, task = placed.state, placed.task
         else:
-            located = self._find(row.task)
+            located = self._find_task(row.task)
             assert located is not None
             state, task = located
         if row.checkpoint and placed is not None:
@@ -165,17 +164,19 @@
         if beginnings.note_end(state, step, row.ending):
             self._book.note_begun(state)
         if row.ending is messages.Ending.DONE:
-            self._take_done(worker, state, task, placed, row.run, now, wall)
+            self._apply_success(
+                worker, state, task, placed, row.run, now, wall
+            )
         elif placed is not None:
-            self._take_cut(worker, placed, row.ending, now, wall)
+            self._apply_unsuccessful_end(worker, placed, row.ending, now, wall)
         elif row.run in task.untold:
-            # Its run was released without the worker's word.
+            # Its run was released without a report of its end.
             task.untold.discard(row.run)
             task.failures += row.ending is messages.Ending.FAILED
             self._book.mark_changed(state)
-            self._fail_if_spent(state, task, wall)
+            self._fail_if_exhausted(state, task, wall)
 
-    def _take_done(
+    def _apply_success(
         self,
         worker: workers.WorkerState,
         state: progress.JobState,
@@ -209,7 +210,7 @@
     def _finish_gang(
         self, state: progress.JobState, ended: progress.Task, number: int
     ) -> None:
-        """Take one member's good end for all members of the run."""
+        """Mark all tasks of a gang done when one of them has succeeded."""
         for task in state.tasks.values():
             same = (
                 task.name.step == ended.name.step
@@ -217,7 +218,7 @@
             )
             if not same:
                 continue
-            # Also where the member's worker is known to have crashed since.
+            # Also if the task's worker has crashed since.
             task.done = True
             state.waiting.pop(task.name, None)
             for run in list(task.runs.values()):
@@ -225,7 +226,7 @@
                     reason = "an earlier run is done"
                     self._book.stop(state, task, run, reason)
 
-    def _take_cut(
+    def _apply_unsuccessful_end(
         self,
         worker: workers.WorkerState,
         placed: workers.PlacedRun,
@@ -234,18 +235,18 @@
         wall: float,
     ) -> None:
         task, state = placed.task, placed.state
-        delay = LASTING_PAUSE_S if placed.step.lasting else 0.0
+        delay = LASTING_RESTART_DELAY_S if placed.step.lasting else 0.0
         if ending is messages.Ending.FAILED:
             task.avoid.add(worker.identity)
             self._note_failure(worker, placed, now)
         self._book.release(placed, now, delay=delay)
         if ending is messages.Ending.FAILED:
-            self._fail_if_spent(state, task, wall)
+            self._fail_if_exhausted(state, task, wall)
 
-    def _fail_if_spent(
+    def _fail_if_exhausted(
         self, state: progress.JobState, task: progress.Task, wall: float
     ) -> None:
-        """End a job if a task of it has failed too often."""
+        """Fail a job one of whose tasks has used all its attempts."""
         queue = self._book.queues.get(state.queue)
         limit = queue.attempts if queue is not None else 0
         is_lasting = state.step_of(task.name).lasting
@@ -289,21 +290,21 @@
         if placed.step.lasting:
             return
         worker.failures += 1
-        pause = SUSPECT_FIRST_S * 2 ** (worker.failures - 1)
-        worker.backoff_until = now + min(SUSPECT_MOST_S, pause)
+        pause = MIN_FAILURE_BACKOFF_S * 2 ** (worker.failures - 1)
+        worker.backoff_until = now + min(MAX_FAILURE_BACKOFF_S, pause)
 
-    def _take_absence(
+    def _release_unlisted(
         self,
         worker: workers.WorkerState,
         placed: workers.PlacedRun,
         sent: float,
         now: float,
     ) -> None:
-        """Handle a known run that the worker does not list.
+        """Release a known run that the worker does not list.
 
-        Once the worker has taken our fencing token, an order of an earlier
-        owner cannot come to it any more: a run that it does not list then
-        will never be there.
+        Once the worker has accepted this owner's fencing token, it rejects
+        orders of earlier owners: an inherited run that it does not list then
+        can no longer start there.
         """
         run = placed.run
         if run.inherited and not worker.established:
@@ -323,12 +324,12 @@
         )
         self._book.release(placed, now)
 
-    def _stop_stray(
+    def _stop_unknown(
         self, worker: workers.WorkerState, key: workers.RunKey
     ) -> None:
-        located = self._find(key[0])
+        located = self._find_task(key[0])
         if located is not None:
-            # Its run was released without this worker's word.
+            # Its run was released without a report of its end.
             state, task = located
             ending = messages.Ending.CUT_SHORT
             if beginnings.note_end(state, state.step_of(task.name), ending):
@@ -342,7 +343,7 @@
             )
         )
 
-    def _find(
+    def _find_task(
         self, full_name: str
     ) -> tuple[progress.JobState, progress.Task] | None:
         identity, _, rest = full_name.partition(".")
