--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -6,20 +6,20 @@
 
 from features import job_cores as cores
 from features import job_models as models
-from rackvalve.jobs import lives
+from rackvalve.jobs import incarnations
 from rackvalve.jobs import progress
 from rackvalve.jobs import records
 from rackvalve.manager import owner as owners
 from rackvalve.manager import timing
 from rackvalve.scheduling import endings
-from rackvalve.scheduling import fences
+from rackvalve.scheduling import failure_detector
+from rackvalve.scheduling import fencing_tokens
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import queues
-from rackvalve.scheduling import silence
-from rackvalve.scheduling import succession
 from rackvalve.scheduling import upkeep
 from rackvalve.scheduling import worker_clock
+from rackvalve.scheduling import worker_restarts
 from rackvalve.scheduling import workers
 from rackvalve.workspaces import account
 from rackvalve.workspaces import directory
@@ -59,7 +59,7 @@
         self.durable = 0
         self.planned: list[messages.Order] = []
         self.uncertain: set[tuple[str, str, int]] = set()
-        self.tokens = fences.Fences(fence)
+        self.tokens = fencing_tokens.FencingTokens(fence)
         # Revision of its own newest commit.
         self.committed_revision = fence
         lease = owners.INHERITED_LEASE_S if rules.proof else 0.0
@@ -67,7 +67,7 @@
         self.book, self.handler = made.book, made.handler
         self.planner = made.planner
         self.upkeep = upkeep.Upkeep(self.book)
-        self.silence = silence.Silence(self.book, self.upkeep)
+        self.silence = failure_detector.FailureDetector(self.book, self.upkeep)
         if rules.keep_bound:
             self.book.set_configuration(make_configuration(rules.bound))
         self.refresh()
@@ -103,11 +103,11 @@
 
     def find_life(self, identity: str):
         """Return the life that has a worker's name now, or ``None``."""
-        return self.lives.get(lives.read_life(identity).worker)
+        return self.lives.get(incarnations.parse_incarnation(identity).worker)
 
     def leave_hold(self, identity: str):
         """Return a hold that is carried out later, with the worker's name."""
-        name = lives.read_life(identity).worker
+        name = incarnations.parse_incarnation(identity).worker
         seen = self.book.workers[identity].find_acknowledged(self.durable)
         token = self.tokens.find(self.book.workers[identity])
         now = self.world.now
@@ -115,7 +115,7 @@
 
     def leave_start(self, identity: str, task: str, run: int, until: float):
         """The same for a start."""
-        name = lives.read_life(identity).worker
+        name = incarnations.parse_incarnation(identity).worker
         worker = self.book.workers.get(identity)
         token = self.fence if worker is None else self.tokens.find(worker)
         return name, lambda life: life.start(task, run, token, until)
@@ -151,7 +151,7 @@
         if self.listed is not None:
             self.upkeep.take_list(*self.listed)
             self.listed = None
-        self.silence.look(self.world.now)
+        self.silence.check(self.world.now)
         self.planner.stop_and_release(self.world.now, self.world.now)
         self.planner.plan(self.world.now, self.world.now)
         if not self.rules.record:
@@ -205,7 +205,7 @@
             return
         if life.identity != identity:
             if reachable and life.answers:
-                later = succession.note_replaced(
+                later = worker_restarts.note_replaced(
                     self.book, worker, life.born, self.world.now
                 )
                 if later is not None:
--- a/src/rackvalve/manager/roster.py
+++ b/src/rackvalve/manager/roster.py
@@ -8,7 +8,7 @@
 
 from rackvalve import clocks
 from rackvalve import errors
-from rackvalve.jobs import lives
+from rackvalve.jobs import incarnations
 from rackvalve.jobs import progress
 from rackvalve import logs
 from rackvalve.manager import contact as contacts
@@ -22,7 +22,7 @@
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import releases
-from rackvalve.scheduling import succession
+from rackvalve.scheduling import worker_restarts
 from rackvalve.scheduling import workers
 
 
@@ -156,7 +156,7 @@
         :param born: When the later one began, in milliseconds since 1970.
         """
         now = clocks.read_steady()
-        later = succession.note_replaced(self._book, worker, born, now)
+        later = worker_restarts.note_replaced(self._book, worker, born, now)
         if later is None or later.location is None:
             return
         logs.write_event(
@@ -263,7 +263,7 @@
                 pool=entry.pool,
                 on_vm=entry.vm,
                 revision=revision,
-                born=lives.read_life(entry.identity).born,
+                born=incarnations.parse_incarnation(entry.identity).born,
             )
         elif entry.draining and not known.entry.draining:
             logs.write_event(
--- a/src/rackvalve/scheduling/crashes.py
+++ b/src/rackvalve/scheduling/crashes.py
@@ -77,7 +77,7 @@
         return self in (Isolation.PREFERRED, Isolation.REQUIRED)
 
 
-def blame_all(
+def attribute_crash(
     ended: Sequence[workers.PlacedRun],
     fate: releases.Fate,
     now: float,
@@ -97,7 +97,7 @@
         if sole is not None and placed.state is not sole.state:
             # It is explained without this one.
             continue
-        is_counted = blame(placed, fate, now)
+        is_counted = count_crash(placed, fate, now)
         if placed in youngest:
             placed.task.youngest_crashes += is_counted
         if placed is sole and is_counted:
@@ -108,7 +108,9 @@
             placed.task.prompt_crashes += is_prompt
 
 
-def blame(placed: workers.PlacedRun, fate: releases.Fate, now: float) -> bool:
+def count_crash(
+    placed: workers.PlacedRun, fate: releases.Fate, now: float
+) -> bool:
     """Count the end of a worker against a task that ran there.
 
     :param placed: The run.
@@ -125,8 +127,8 @@
     if fate is not releases.Fate.CRASHED and not suspected:
         return False
     task.crashes += 1
-    task.lived = max(task.lived, now - run.since)
-    task.crashed_lives.add(run.worker)
+    task.time_to_crash = max(task.time_to_crash, now - run.since)
+    task.crashed_incarnations.add(run.worker)
     if run.location is not None:
         task.crashed_on.add(run.location.vm)
     placed.state.suspects.add(task.name)
@@ -173,7 +175,7 @@
     task, run = placed.task, placed.run
     if task.done or run.stage is progress.Stage.PLANNED:
         return False
-    if run.number != task.isolated:
+    if run.number != task.isolated_run:
         return False
     return all(
         other.state is placed.state
@@ -200,7 +202,7 @@
     if task.done:
         return False
     prompt = sum(one.prompt_crashes for one in _list_suspects(state))
-    if prompt >= (1 if state.culprit_lived else PROMPT_CRASHES_MOST):
+    if prompt >= (1 if state.known_time_to_crash else PROMPT_CRASHES_MOST):
         return True
     is_spent = task.crashes >= CRASHES_MOST
     return is_spent and count_isolated_crashes(state) > 0
@@ -222,7 +224,7 @@
     return [task for task in suspects if not task.done]
 
 
-def clear(
+def clear_suspect(
     worker: workers.WorkerState, placed: workers.PlacedRun, asked: float
 ) -> bool:
     """Clear a task whose run has worked for long enough.
@@ -236,11 +238,13 @@
     task, run, state = placed.task, placed.run, placed.state
     if run.confirmed_at is None:
         return False
-    if asked - run.confirmed_at > _limit(state.culprit_lived, CLEARED_MOST_S):
-        state.culprit_lived = 0.0
+    if asked - run.confirmed_at > _limit(
+        state.known_time_to_crash, CLEARED_MOST_S
+    ):
+        state.known_time_to_crash = 0.0
     if not task.crashes:
         return False
-    if asked - run.confirmed_at <= _limit(task.lived, CLEARED_MOST_S):
+    if asked - run.confirmed_at <= _limit(task.time_to_crash, CLEARED_MOST_S):
         return False
     task.forget_crashes()
     state.suspects.discard(task.name)
@@ -265,12 +269,12 @@
     :param task: The task.
     :param now: Present time, in seconds.
     """
-    if state.culprit_lived or task.crashes >= LAST_START_FROM:
+    if state.known_time_to_crash or task.crashes >= LAST_START_FROM:
         # Whoever caused the crashes, this start must tell.
         return Isolation.REQUIRED
     if not task.unexplained:
         return Isolation.NONE
-    is_likely = is_likely_culprit(state, task)
+    is_likely = is_likely_cause(state, task)
     if is_likely and task.crashes >= ALONE_FROM:
         return Isolation.REQUIRED
     is_gang = state.step_of(task.name).gang
@@ -281,18 +285,18 @@
     return Isolation.PREFERRED
 
 
-def is_likely_culprit(state: progress.JobState, task: progress.Task) -> bool:
+def is_likely_cause(state: progress.JobState, task: progress.Task) -> bool:
     """Return whether more speaks against a task than that it was there.
 
     :param state: Its job.
     :param task: The task.
     """
-    if state.culprit_lived or task.youngest_crashes:
+    if state.known_time_to_crash or task.youngest_crashes:
         return True
     return bool(task.unexplained and count_isolated_crashes(state))
 
 
-def explain(
+def discount_explained(
     culprit: progress.JobState, others: Iterable[progress.JobState]
 ) -> list[progress.JobState]:
     """Take back what counts against others for crashes that a job has caused.
@@ -305,7 +309,7 @@
     """
     lives = set()
     for name in culprit.suspects:
-        lives |= culprit.tasks[name].crashed_lives
+        lives |= culprit.tasks[name].crashed_incarnations
     return [state for state in others if _explain(state, lives)]
 
 
@@ -314,8 +318,8 @@
     found = False
     for name in state.suspects:
         task = state.tasks[name]
-        common = task.crashed_lives.intersection(lives)
-        task.crashed_lives -= common
+        common = task.crashed_incarnations.intersection(lives)
+        task.crashed_incarnations -= common
         task.explained += len(common)
         left = task.unexplained
         task.youngest_crashes = min(task.youngest_crashes, left)
@@ -329,7 +333,7 @@
     :param worker: The worker.
     """
     return any(
-        placed.run.number == placed.task.isolated and _keeps_worker(placed)
+        placed.run.number == placed.task.isolated_run and _keeps_worker(placed)
         for placed in worker.suspects.values()
     )
 
@@ -360,9 +364,9 @@
 
 def _is_settled(placed: workers.PlacedRun) -> bool:
     """Return whether a run is known to have been at work for long."""
-    if placed.run.number == placed.task.isolated and _keeps_worker(placed):
+    if placed.run.number == placed.task.isolated_run and _keeps_worker(placed):
         return False
-    lived = max(placed.task.lived, placed.state.culprit_lived)
+    lived = max(placed.task.time_to_crash, placed.state.known_time_to_crash)
     return _read_worked(placed.run) > _limit(lived, SETTLED_MOST_S)
 
 
@@ -373,7 +377,7 @@
     return run.listed_at - run.confirmed_at
 
 
-def count_strangers(
+def count_conflicting_runs(
     worker: workers.WorkerState,
     state: progress.JobState | None,
     task: progress.Task,
@@ -417,7 +421,7 @@
     :param task: The task.
     :param number: Number of the run.
     """
-    task.isolated = number
+    task.isolated_run = number
     unsettled = {id(placed) for placed in list_unsettled(worker, state)}
     task.settled_beside = {
         key
--- a/src/rackvalve/scheduling/isolation.py
+++ b/src/rackvalve/scheduling/isolation.py
@@ -61,7 +61,7 @@
     def is_likely(self) -> bool:
         """Whether more speaks against a task than that it was there."""
         return any(
-            crashes.is_likely_culprit(self.state, task) for task in self.tasks
+            crashes.is_likely_cause(self.state, task) for task in self.tasks
         )
 
     @property
@@ -70,8 +70,8 @@
 
         What has crashed its workers soonest is most likely to blame.
         """
-        lived = min(task.lived for task in self.tasks)
-        if self.state.culprit_lived:
+        lived = min(task.time_to_crash for task in self.tasks)
+        if self.state.known_time_to_crash:
             return self.since + lived + ALIKE_BEHIND_S
         ahead = LIKELY_AHEAD_S if self.is_likely else 0.0
         return self.since + lived - ahead
@@ -88,7 +88,7 @@
     found: dict[tuple[object, ...], Group] = {}
     for state in states:
         # All tasks of a job that runs the same as a culprit are suspects.
-        names = state.waiting if state.culprit_lived else state.suspects
+        names = state.waiting if state.known_time_to_crash else state.suspects
         for name in names:
             isolation = _choose_isolation(state, name, now)
             key = (state.identity, name.repetition, name.step, isolation)
@@ -280,7 +280,7 @@
         """Return the workers that are kept for runs of a job."""
         found = set()
         for task in state.tasks.values():
-            run = task.runs.get(task.isolated)
+            run = task.runs.get(task.isolated_run)
             worker = self._book.workers.get(run.worker) if run else None
             if worker is not None and crashes.is_isolating(worker):
                 found.add(worker.identity)
--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -6,13 +6,13 @@
 
 from rackvalve.jobs import definition
 from rackvalve.jobs import progress
-from rackvalve.scheduling import beginnings
 from rackvalve.scheduling import book as books
 from rackvalve.scheduling import crashes
+from rackvalve.scheduling import job_starts
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import releases
 from rackvalve.scheduling import speeds
-from rackvalve.scheduling import succession
+from rackvalve.scheduling import worker_restarts
 from rackvalve.scheduling import workers
 
 # A report lists at most this many ended runs; a full one may be incomplete.
@@ -105,7 +105,7 @@
         worker.last_answer_at = min(now, report.sent + self._hold_most)
         # After a pause of this process the answer describes a time before it.
         worker.last_alive_at = min(now, report.sent + self._hold_wait)
-        self.released += succession.take_over(
+        self.released += worker_restarts.supersede_earlier(
             self._book, worker, report, now=now, wall=wall
         )
         for row in report.ended:
@@ -119,9 +119,9 @@
             listed = running.get(key)
             if listed is not None:
                 _update_run(placed, listed, report.sent, now)
-                if beginnings.note_there(placed):
+                if job_starts.note_run_seen(placed):
                     self._book.note_begun(placed.state)
-                if crashes.clear(worker, placed, report.sent):
+                if crashes.clear_suspect(worker, placed, report.sent):
                     self._book.mark_changed(placed.state)
             elif len(report.ended) < MAX_ENDS_PER_REPORT:
                 self._release_unlisted(worker, placed, report.sent, now)
@@ -161,7 +161,7 @@
         if row.checkpoint and placed is not None:
             task.checkpoint = row.checkpoint
         step = state.step_of(task.name)
-        if beginnings.note_end(state, step, row.ending):
+        if job_starts.note_run_ended(state, step, row.ending):
             self._book.note_begun(state)
         if row.ending is messages.Ending.DONE:
             self._apply_success(
@@ -169,9 +169,9 @@
             )
         elif placed is not None:
             self._apply_unsuccessful_end(worker, placed, row.ending, now, wall)
-        elif row.run in task.untold:
+        elif row.run in task.unreported_runs:
             # Its run was released without a report of its end.
-            task.untold.discard(row.run)
+            task.unreported_runs.discard(row.run)
             task.failures += row.ending is messages.Ending.FAILED
             self._book.mark_changed(state)
             self._fail_if_exhausted(state, task, wall)
@@ -187,7 +187,7 @@
         wall: float,
     ) -> None:
         step = state.step_of(task.name)
-        self._book.crash_history.culprits.acquit(
+        self._book.crash_history.crashing_jobs.clear(
             state, self._book.open_jobs.values()
         )
         if placed is not None:
@@ -332,7 +332,9 @@
             # Its run was released without a report of its end.
             state, task = located
             ending = messages.Ending.CUT_SHORT
-            if beginnings.note_end(state, state.step_of(task.name), ending):
+            if job_starts.note_run_ended(
+                state, state.step_of(task.name), ending
+            ):
                 self._book.note_begun(state)
         self._book.orders.append(
             messages.StopRun(
--- a/tools/baselines/decisions.py
+++ b/tools/baselines/decisions.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import planner as planners
-from rackvalve.scheduling import silence as silences
 from rackvalve.scheduling import speeds
 
 
@@ -16,12 +16,12 @@
         return (state.arrived,)
 
 
-class DeafSilence(silences.Silence):
+class BlindFailureDetector(failure_detector.FailureDetector):
     """Takes every worker to be there until its entry or lease is gone."""
 
     __slots__ = ()
 
-    def look(self, now):
+    def check(self, now):
         """See nothing.
 
         :param now: Present time, in seconds.
