--- a/src/rackvalve/scheduling/blockers.py
+++ b/src/rackvalve/scheduling/blockers.py
@@ -1,6 +1,7 @@
-"""What keeps tasks from running whose turn has come, as their owner sees it.
+"""Finds why tasks whose turn has come do not run, for logs and metrics.
 
-It decides nothing: it says which of the planner's conditions they do not meet.
+The planner decides; this module only reports which of its conditions are not
+met.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 class Cause(enum.Enum):
-    """Why tasks do not run."""
+    """Reason why tasks do not run."""
 
     NO_QUEUE = "its queue is not in the configuration"
     NO_RECORD = "its start is not yet in the store"
@@ -41,7 +42,7 @@
 
 
 class Availability(enum.Enum):
-    """Whether a worker takes work, and why not."""
+    """Whether a worker takes new runs, and why not."""
 
     TAKING = "taking"
     SLOW = "slow"
@@ -56,7 +57,7 @@
 
 
 class Awaited(enum.Enum):
-    """What may prove that a run on a worker is over."""
+    """Event that may prove that a run on a worker is over."""
 
     ANY = "its answer, its VM listed as off, or its lease"
     LEASE = "its lease alone, since no record tells its address"
@@ -64,15 +65,15 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Blocker:
-    """What keeps a job's tasks.
+    """What keeps tasks of a job from running.
 
-    :param cause: Why.
-    :param since: Since when at the latest, in seconds.
-    :param pool: The pool of its workers; empty if none is known.
-    :param need: The room that its smallest waiting task takes.
+    :param cause: Reason.
+    :param since: Latest time at which it began, in seconds.
+    :param pool: Pool of the job's queue; empty if it is not known.
+    :param need: Resources that the smallest waiting task takes.
     :param workers: Workers whose runs are not proved over.
-    :param proof_in: Time until the first of them is, in seconds.
-    :param awaited: What would prove it sooner.
+    :param proof_in: Time until the first of their leases is over, in seconds.
+    :param awaited: Events that would prove it sooner.
     """
 
     cause: Cause
@@ -87,11 +88,11 @@
 def find_availability(
     worker: workers.WorkerState, now: float, freshness: float
 ) -> Availability:
-    """Return whether a worker takes work, and why not.
+    """Return whether a worker takes new runs, and why not.
 
     :param worker: The worker.
     :param now: Present time, in seconds.
-    :param freshness: Longest time since its last answer, in seconds.
+    :param freshness: Longest accepted age of its last answer, in seconds.
     """
     if worker.entry is None or worker.entry_missing_since is not None:
         return Availability.NO_ENTRY
@@ -111,13 +112,14 @@
 
 
 class PoolState:
-    """The workers of one pool at one moment.
+    """The workers of one pool at one time.
 
-    :param known: All its workers.
-    :param members: Those that the planner places work on.
-    :param reserved: Identities of those that one job alone may start on.
+    :param known: All workers of the pool.
+    :param members: Workers on which the planner places runs.
+    :param reserved: Identities of workers that are reserved for one job.
     :param now: Present time, in seconds.
-    :param freshness: Longest time since a worker's last answer, in seconds.
+    :param freshness: Longest accepted age of a worker's last answer, in
+        seconds.
     """
 
     __slots__ = ("counts", "_members", "_largest")
@@ -148,15 +150,15 @@
             elif kind is Availability.TAKING:
                 kind = Availability.SLOW
             self.counts[kind] += 1
-        # What fits into none of these fits nowhere: a few rooms stand for
-        # hundreds of workers, whose jobs may wait in thousands.
+        # A task that fits into none of these fits on no worker: a few values
+        # stand for hundreds of workers and are checked for thousands of jobs.
         self._largest = _find_largest(
             {worker.free for worker in self._members}
         )
 
     @property
     def takes_work(self) -> bool:
-        """Whether any worker takes work."""
+        """Whether any worker takes new runs."""
         kinds = (Availability.TAKING, Availability.RESERVED)
         return any(self.counts[kind] for kind in kinds)
 
@@ -168,8 +170,8 @@
     ) -> bool:
         """Return whether a worker has room for a task.
 
-        :param need: The room that it takes.
-        :param labels: The labels that it asks for.
+        :param need: Resources that the task takes.
+        :param labels: Labels that it requires.
         :param tickets: Admitted workers; ``None`` if all are.
         """
         if not any(room.fits(need) for room in self._largest):
@@ -186,12 +188,13 @@
 
 
 class BlockerFinder:
-    """Finds what keeps jobs, at one moment.
+    """Finds what keeps jobs from running, at one time.
 
     :param book: The book.
-    :param planner: The planner over it.
+    :param planner: Its planner.
     :param now: Present time, in seconds.
-    :param freshness: Longest time since a worker's last answer, in seconds.
+    :param freshness: Longest accepted age of a worker's last answer, in
+        seconds.
     """
 
     __slots__ = ("_book", "_planner", "_now", "_freshness", "_pools")
@@ -226,16 +229,16 @@
         return found
 
     def is_at_work(self, placed: workers.PlacedRun) -> bool:
-        """Return whether a worker that answers has told of a run.
+        """Return whether a worker that answers has confirmed a run.
 
         :param placed: The run.
         """
         stage = placed.run.stage
         if stage is progress.Stage.STOPPING:
-            told = placed.run.confirmed_at is not None
+            is_confirmed = placed.run.confirmed_at is not None
         else:
-            told = stage is progress.Stage.CONFIRMED
-        return told and self._answers(placed)
+            is_confirmed = stage is progress.Stage.CONFIRMED
+        return is_confirmed and self._answers(placed)
 
     def find(
         self,
@@ -243,26 +246,27 @@
         waiting: Collection[definition.TaskName],
         runs: Sequence[workers.PlacedRun],
     ) -> Blocker | None:
-        """Find what keeps tasks of which nothing is at work.
+        """Find what keeps tasks from running.
 
         :param state: Their job.
-        :param waiting: Those that wait for a run.
-        :param runs: The runs of the others.
+        :param waiting: Tasks that wait for a run.
+        :param runs: Runs of the other tasks, none of them confirmed by a
+            worker that answers.
         :return: ``None`` if no task's turn has come.
         """
         queue = self._book.queues.get(state.queue)
         if queue is None:
             return Blocker(cause=Cause.NO_QUEUE, since=self._now)
-        under_way = self._find_start(runs, queue.pool)
-        if under_way is not None:
-            return under_way
+        starting = self._find_pending_start(runs, queue.pool)
+        if starting is not None:
+            return starting
         found = self._find_waiting(state, waiting, queue)
         unclear = found is None or found.cause in (
             Cause.NOTHING,
             Cause.NOT_TOGETHER,
         )
         if runs and unclear:
-            return self._find_proof(runs, queue.pool)
+            return self._find_awaited_proof(runs, queue.pool)
         if found is None and not waiting and not state.job.repetitions:
             return Blocker(
                 cause=Cause.FORGOTTEN, since=self._now, pool=queue.pool
@@ -275,10 +279,10 @@
             return False
         return self._now - worker.last_answer_at <= self._freshness
 
-    def _find_start(
+    def _find_pending_start(
         self, runs: Sequence[workers.PlacedRun], pool: str
     ) -> Blocker | None:
-        """Find a start that is under way."""
+        """Find a start that is not yet recorded or not yet confirmed."""
         planned = [
             placed.run.since
             for placed in runs
@@ -304,9 +308,9 @@
         waiting: Collection[definition.TaskName],
         queue: queues.Queue,
     ) -> Blocker | None:
-        """Find what keeps the smallest task that waits."""
-        # The first of each step stands for the others: a job may have
-        # thousands of tasks.
+        """Find what keeps the smallest waiting task from running."""
+        # The first task of each step stands for all, since a job may have
+        # thousands.
         ready: dict[int, definition.TaskName] = {}
         for name in waiting:
             if name.step not in ready:
@@ -317,13 +321,13 @@
         first = min(ready.values(), key=lambda name: _size(state, name))
         need = fleet.need_of(state.step_of(first))
         return Blocker(
-            cause=self._judge_task(state, queue, first, need),
+            cause=self._find_task_cause(state, queue, first, need),
             since=self._now,
             pool=queue.pool,
             need=need,
         )
 
-    def _judge_task(
+    def _find_task_cause(
         self,
         state: progress.JobState,
         queue: queues.Queue,
@@ -353,10 +357,10 @@
                 return Cause.NO_TICKET
         return Cause.NOT_TOGETHER if step.gang else Cause.NOTHING
 
-    def _find_proof(
+    def _find_awaited_proof(
         self, runs: Sequence[workers.PlacedRun], pool: str
     ) -> Blocker:
-        """Tell whose word is awaited on runs that may still be there."""
+        """Find what would prove that runs on silent workers are over."""
         names = tuple({placed.run.worker: None for placed in runs})
         found = [
             self._book.workers[name]
@@ -385,9 +389,9 @@
 
 
 def _find_largest(rooms: Collection[fleet.Room]) -> list[fleet.Room]:
-    """Return the rooms that lie within no other one."""
+    """Return the resources that fit into no other value."""
     largest: list[fleet.Room] = []
-    # A room that holds another one comes before it.
+    # A value into which another fits is sorted before it.
     for room in sorted(rooms, key=_sum, reverse=True):
         if not any(other.fits(room) for other in largest):
             largest.append(room)
--- a/src/rackvalve/scheduling/stalls.py
+++ b/src/rackvalve/scheduling/stalls.py
@@ -1,8 +1,8 @@
-"""Which jobs stand still: a task's turn has come and nothing is at work.
+"""Detects stalled jobs: a task's turn has come and no run is at work.
 
-A job that lasts serves with each of its tasks, so that each of them counts by
-itself.  The owner looks once a second, after a plan; what starts and ends
-between two looks does not stand.
+Each task of a lasting job serves by itself and is checked by itself.  The
+owner scans once a second, after planning; a run that starts and ends between
+two scans counts as progress.
 """
 
 from __future__ import annotations
@@ -20,26 +20,26 @@
 from rackvalve.scheduling import planner as planners
 from rackvalve.scheduling import workers
 
-# A job stands still after this time with nothing at work, in seconds: half of
-# what the users' pages bear.  A start takes up to 0.3 s by a slow store.
-STANDING_S = 1.5
-# A start that is under way for less than this holds nothing up, in seconds;
-# a slow store takes 0.24 s for its record.
-START_S = 0.5
-# Jobs of one pool and cause that are told of at one look.
-TOLD_MOST = 2
-# Jobs that are judged at one look, in the order in which they came: an owner
-# with 2,000 that wait took 60 ms for all of them.
-JUDGED_MOST = 500
+# A job is stalled after this time with no run at work, in seconds: half of the
+# pause that the users accept.  A start takes up to 0.3 s with a slow store.
+STALL_AFTER_S = 1.5
+# A start in progress for less than this is no stall, in seconds; a slow store
+# takes 0.24 s to write its record.
+START_GRACE_S = 0.5
+# Most jobs of one pool and cause that one scan reports for logging.
+MAX_REPORTED_JOBS = 2
+# Most jobs that one scan checks, oldest first: an owner with 2,000 waiting
+# jobs took 60 ms for all of them.
+MAX_CHECKED_JOBS = 500
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class _Part:
-    """A job, or one task of a job that lasts, with nothing at work.
+    """A job, or one task of a lasting job, with no run at work.
 
     :param state: The job.
     :param task: Name of the task; empty for the whole job.
-    :param waiting: Its tasks that wait.
+    :param waiting: Its waiting tasks.
     :param runs: Its runs.
     """
 
@@ -57,16 +57,16 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class StalledJob:
-    """A job, or one task of a job that lasts, that stands still.
+    """A stalled job, or one stalled task of a lasting job.
 
-    :param job: Its identifier.
+    :param job: The job's identifier.
     :param task: Name of the task; empty for the whole job.
-    :param queue: Its queue.
-    :param workspace: Its workspace.
-    :param accepted: When it was accepted, seconds since 1970.
-    :param seconds: For how long at least, in seconds.
-    :param waiting: How many of its tasks wait.
-    :param blocker: What keeps it.
+    :param queue: The job's queue.
+    :param workspace: The job's workspace.
+    :param accepted: When the job was accepted, seconds since 1970.
+    :param seconds: Least time for which it has been stalled, in seconds.
+    :param waiting: Number of its waiting tasks.
+    :param blocker: What keeps it from running.
     """
 
     job: str
@@ -80,7 +80,7 @@
 
     @property
     def cause(self) -> blockers.Cause:
-        """Why it stands."""
+        """Reason why it is stalled."""
         return self.blocker.cause
 
     @property
@@ -91,14 +91,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class StalledPool:
-    """The jobs of one pool that stand still.
+    """The stalled jobs of one pool.
 
     :param pool: The pool; empty for jobs whose queue is not known.
-    :param causes: How many jobs stand, by cause.
-    :param oldest: The one that stands longest.
-    :param overtaken: How many jobs of its queue were accepted after it and
-        have started.
-    :param workers: The pool's workers, by whether they take work.
+    :param causes: Number of stalled jobs by cause.
+    :param oldest: The job that is stalled longest.
+    :param overtaken: Number of jobs of its queue that were accepted after it
+        and have started.
+    :param workers: Number of the pool's workers by availability.
     """
 
     pool: str
@@ -110,12 +110,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class StallReport:
-    """What one look has found.
+    """Result of one scan.
 
-    :param pools: Pools with jobs that stand.
-    :param jobs: Jobs that were not told of with this cause before.
-    :param unjudged: How many more jobs have nothing at work: a look judges
-        so many only.
+    :param pools: Pools with stalled jobs.
+    :param jobs: Stalled jobs that were not reported with this cause before.
+    :param unjudged: Number of jobs with no run at work that were left out,
+        since a scan checks a limited number.
     """
 
     pools: tuple[StalledPool, ...]
@@ -123,7 +123,7 @@
     unjudged: int
 
     def count(self) -> collections.Counter[blockers.Cause]:
-        """Return how many jobs stand, by cause."""
+        """Return the number of stalled jobs by cause."""
         total: collections.Counter[blockers.Cause] = collections.Counter()
         for pool in self.pools:
             total.update(pool.causes)
@@ -131,22 +131,22 @@
 
 
 class StallDetector:
-    """Looks for jobs that stand still.
+    """Scans an owner's open jobs for stalled ones.
 
     :param book: The book.
-    :param planner: The planner over it.
-    :param freshness: Longest time since a worker's last answer for its runs
-        to count as at work, in seconds.
+    :param planner: Its planner.
+    :param freshness: Longest age of a worker's last answer for its runs to
+        count as at work, in seconds.
     """
 
     __slots__ = (
         "_book",
         "_planner",
         "_freshness",
-        "_looked",
-        "_since",
+        "_scanned_at",
+        "_stalled_since",
         "_ended",
-        "_told",
+        "_reported",
         "_unjudged",
     )
 
@@ -156,16 +156,16 @@
         self._book = book
         self._planner = planner
         self._freshness = freshness
-        # Time of the last look, in seconds.
-        self._looked = float("-inf")
-        # Since when jobs and lasting tasks stand that stood at the last look,
-        # in seconds.
-        self._since: dict[str, float] = {}
-        # Tasks, and their jobs, of which a run has ended since the last look.
+        # Time of the last scan, in seconds.
+        self._scanned_at = float("-inf")
+        # When the stall of each job or lasting task that the last scan found
+        # began, in seconds.
+        self._stalled_since: dict[str, float] = {}
+        # Tasks, and their jobs, of which a run has ended since the last scan.
         self._ended: set[str] = set()
-        # Causes that were told of each job or lasting task.
-        self._told: dict[str, set[blockers.Cause]] = {}
-        # How many jobs the last look has left out.
+        # Causes already reported for each job or lasting task.
+        self._reported: dict[str, set[blockers.Cause]] = {}
+        # Number of jobs that the last scan left out.
         self._unjudged = 0
 
     def note_end(self, task: str) -> None:
@@ -177,41 +177,42 @@
         self._ended.add(task.partition(".")[0])
 
     def scan(self, now: float) -> StallReport:
-        """Find all jobs that stand still.
+        """Find all stalled jobs.
 
         :param now: Present time, in seconds.
         """
         finder = blockers.BlockerFinder(
             self._book, self._planner, now, self._freshness
         )
-        standing = self._find_all(finder, now)
+        stalled = self._find_stalled(finder, now)
         by_pool: dict[str, list[StalledJob]] = {}
-        for job in standing:
+        for job in stalled:
             by_pool.setdefault(job.blocker.pool, []).append(job)
         pools = [
-            self._sum_up(finder, pool, jobs) for pool, jobs in by_pool.items()
+            self._summarize(finder, pool, jobs)
+            for pool, jobs in by_pool.items()
         ]
-        told: list[StalledJob] = []
+        reported: list[StalledJob] = []
         for jobs in by_pool.values():
-            told.extend(self._choose(jobs))
-        self._forget_ended()
-        self._looked = now
+            reported.extend(self._choose_reported(jobs))
+        self._discard_ended()
+        self._scanned_at = now
         return StallReport(
-            pools=tuple(pools), jobs=tuple(told), unjudged=self._unjudged
+            pools=tuple(pools), jobs=tuple(reported), unjudged=self._unjudged
         )
 
-    def _find_all(
+    def _find_stalled(
         self, finder: blockers.BlockerFinder, now: float
     ) -> list[StalledJob]:
-        """Return the jobs that stand, those that stand longest first."""
+        """Return the stalled jobs, the longest stalled first."""
         at_work, idle = self._sort_runs(finder)
         since: dict[str, float] = {}
         found: list[StalledJob] = []
         self._unjudged = 0
         for state in self._book.open_jobs.values():
-            if now - state.arrived < STANDING_S:
+            if now - state.arrived < STALL_AFTER_S:
                 continue
-            if len(since) >= JUDGED_MOST:
+            if len(since) >= MAX_CHECKED_JOBS:
                 self._unjudged += state.identity not in at_work
                 continue
             runs = idle.get(state.identity, [])
@@ -219,17 +220,19 @@
                 blocker = finder.find(state, part.waiting, part.runs)
                 if blocker is None:
                     continue
-                began = self._find_beginning(part, blocker)
+                began = self._find_stall_start(part, blocker)
                 since[part.name] = began
-                if now - began >= STANDING_S and not _starts(blocker, now):
+                if now - began >= STALL_AFTER_S and not _is_starting(
+                    blocker, now
+                ):
                     found.append(_describe(part, blocker, now - began))
-        self._since = since
+        self._stalled_since = since
         return sorted(found, key=lambda job: -job.seconds)
 
     def _sort_runs(
         self, finder: blockers.BlockerFinder
     ) -> tuple[set[str], dict[str, list[workers.PlacedRun]]]:
-        """Return jobs with something at work, and other runs by job."""
+        """Return the jobs with a run at work, and all other runs by job."""
         at_work: set[str] = set()
         idle: dict[str, list[workers.PlacedRun]] = {}
         for worker in self._book.workers.values():
@@ -240,18 +243,20 @@
                     idle.setdefault(placed.state.identity, []).append(placed)
         return at_work, idle
 
-    def _find_beginning(self, part: _Part, blocker: blockers.Blocker) -> float:
-        known = self._since.get(part.name)
+    def _find_stall_start(
+        self, part: _Part, blocker: blockers.Blocker
+    ) -> float:
+        known = self._stalled_since.get(part.name)
         if known is not None and part.name not in self._ended:
             return known
         state = part.state
         if state.next_run == 1:
-            # A task that is repeated is due long after its job has come.
+            # A repeated task is due long after its job was accepted.
             return blocker.since if state.job.repetitions else state.arrived
-        # At the last look something of it was at work.
-        return max(blocker.since, self._looked)
+        # At the last scan a run of it was at work.
+        return max(blocker.since, self._scanned_at)
 
-    def _sum_up(
+    def _summarize(
         self,
         finder: blockers.BlockerFinder,
         pool: str,
@@ -261,11 +266,11 @@
             pool=pool,
             causes=collections.Counter(job.cause for job in jobs),
             oldest=jobs[0],
-            overtaken=self._count_later(jobs[0]),
+            overtaken=self._count_overtaking(jobs[0]),
             workers=finder.pool(pool).counts,
         )
 
-    def _count_later(self, job: StalledJob) -> int:
+    def _count_overtaking(self, job: StalledJob) -> int:
         return sum(
             1
             for state in self._book.jobs.values()
@@ -274,24 +279,24 @@
             and state.accepted > job.accepted
         )
 
-    def _choose(self, jobs: list[StalledJob]) -> list[StalledJob]:
-        """Choose of which jobs of a pool to tell."""
+    def _choose_reported(self, jobs: list[StalledJob]) -> list[StalledJob]:
+        """Choose the jobs of a pool that are reported for logging."""
         counts: collections.Counter[blockers.Cause] = collections.Counter()
         chosen: list[StalledJob] = []
         for job in jobs:
-            told = self._told.setdefault(job.name, set())
-            if job.cause in told or counts[job.cause] >= TOLD_MOST:
+            reported = self._reported.setdefault(job.name, set())
+            if job.cause in reported or counts[job.cause] >= MAX_REPORTED_JOBS:
                 continue
             counts[job.cause] += 1
-            told.add(job.cause)
+            reported.add(job.cause)
             chosen.append(job)
         return chosen
 
-    def _forget_ended(self) -> None:
+    def _discard_ended(self) -> None:
         self._ended.clear()
-        self._told = {
+        self._reported = {
             name: causes
-            for name, causes in self._told.items()
+            for name, causes in self._reported.items()
             if name.partition(".")[0] in self._book.open_jobs
         }
 
@@ -299,7 +304,7 @@
 def _find_parts(
     state: progress.JobState, runs: list[workers.PlacedRun], at_work: bool
 ) -> Iterator[_Part]:
-    """Find the parts of a job of which nothing is at work."""
+    """Find the parts of a job that have no run at work."""
     if not any(step.lasting for step in state.job.steps):
         if not at_work:
             yield _Part(state=state, task="", waiting=state.waiting, runs=runs)
@@ -311,13 +316,13 @@
         yield _Part(state=state, task=task, waiting=(), runs=(placed,))
 
 
-def _starts(blocker: blockers.Blocker, now: float) -> bool:
-    """Return whether a start has only just begun."""
-    under_way = blocker.cause in (
+def _is_starting(blocker: blockers.Blocker, now: float) -> bool:
+    """Return whether a start is in progress for a short time only."""
+    starting = blocker.cause in (
         blockers.Cause.NO_RECORD,
         blockers.Cause.NO_CONFIRMATION,
     )
-    return under_way and now - blocker.since < START_S
+    return starting and now - blocker.since < START_GRACE_S
 
 
 def _describe(
