--- a/features/steps/sizing_steps.py
+++ b/features/steps/sizing_steps.py
@@ -27,7 +27,7 @@
 def make_busy_pool(context, count, spares):
     vms.make_sizing(context, count, spares)
     # As many VMs as the pool keeps for this demand.
-    busy = int((count - sizing.RESERVE) / sizing.HEADROOM)
+    busy = int((count - sizing.RESERVE_VMS) / sizing.HEADROOM)
     context.bench.add(definition.Step(tasks=busy, cpu=vms.WIDE.cpu))
     context.bench.start_all()
     assert not vms.step_sizing(context, 1.0)
@@ -41,8 +41,8 @@
         duration=60.0,
         most_away=count,
     )
-    context.upkeep.add_wave(wave, context.bench.now)
-    context.upkeep.waves[1].closed.update(wave.vms)
+    context.maintenance.add_wave(wave, context.bench.now)
+    context.maintenance.waves[1].closed.update(wave.vms)
     context.moves = vms.step_sizing(context, 0.5)
 
 
@@ -73,7 +73,7 @@
 def finish_work(context):
     context.bench.book.cancel_job(benches.IDENTITY, context.bench.now)
     context.moves = vms.step_sizing(
-        context, forecast.PEAK_WINDOW_S + sizing.STAY_S + 1.0
+        context, forecast.PEAK_WINDOW_S + sizing.MIN_STAY_S + 1.0
     )
 
 
@@ -81,7 +81,7 @@
 def check_shrunk(context, count):
     assert {move.pool for move in context.moves} == {vms.SPARE}, context.moves
     assert len(context.names) - len(context.moves) == count
-    assert count == sizing.LEAST
+    assert count == sizing.MIN_POOL_VMS
 
 
 @behave.when("a job for {count:d} VMs comes")
@@ -94,7 +94,7 @@
 @behave.then("the pool is expected to need {count:d} VMs")
 def check_not_rising(context, count):
     size = context.sizing.pools[models.POOL]
-    assert size.forecast.expect(context.bench.now) == count
+    assert size.forecast.predict(context.bench.now) == count
 
 
 @behave.when("{count:d} jobs for 1 VM come each 0.1 s for 0.8 s")
@@ -217,5 +217,5 @@
 
 @behave.then("empty VMs of the first pool move to the other")
 def check_direct(context):
-    assert len(context.moves) == 6 - sizing.LEAST
+    assert len(context.moves) == 6 - sizing.MIN_POOL_VMS
     assert {move.pool for move in context.moves} == {vms.OTHER}
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -19,12 +19,12 @@
 from rackvalve.scheduling import book as books
 from rackvalve.scheduling import endings
 from rackvalve.scheduling import fleet
+from rackvalve.scheduling import maintenance as maintenances
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import planner as planners
 from rackvalve.scheduling import queues
 from rackvalve.scheduling import reports
 from rackvalve.scheduling import sizing as sizings
-from rackvalve.scheduling import upkeep as upkeeps
 from tools.emulator import effects
 from tools.emulator import loads
 from tools.emulator import plans
@@ -88,9 +88,9 @@
                 entry_grace=timing.ENTRY_GRACE_S,
             ),
         )
-        self.upkeep = upkeeps.Upkeep(self.book)
-        self.silence = policy.silence(self.book, self.upkeep)
-        self.sizing = sizings.Sizing(self.book, self.upkeep, self.silence)
+        self.maintenance = maintenances.MaintenancePlanner(self.book)
+        self.silence = policy.silence(self.book, self.maintenance)
+        self.sizing = sizings.Sizer(self.book, self.maintenance, self.silence)
         self.vms = {
             f"m{n}": vms.Vm(
                 f"m{n}",
@@ -247,9 +247,9 @@
 
     def _care(self) -> None:
         if not self._is_away():
-            self.upkeep.take_list(self._list(), self.now)
+            self.maintenance.take_list(self._list(), self.now)
             self.silence.check(self.now)
-            for maintain in self.upkeep.decide(
+            for maintain in self.maintenance.decide(
                 self.now,
                 short=self.sizing.is_short,
                 reserved=self.sizing.count_reserved(self.now),
@@ -265,15 +265,15 @@
         self.at(self.now + timing.CARE_INTERVAL_S, self._care)
 
     def _apply_closing(self) -> None:
-        waves = self.upkeep.leaving()
-        surplus = self.sizing.leaving()
-        later = self.upkeep.later()
+        waves = self.maintenance.list_leaving()
+        surplus = self.sizing.list_leaving()
+        later = self.maintenance.list_pending()
         departing = self.sizing.departing()
         for worker in self.book.workers.values():
             vm = worker.entry.vm if worker.entry is not None else ""
             worker.close_reason = ""
             if vm in waves:
-                worker.close_reason = upkeeps.CLOSED
+                worker.close_reason = maintenances.CLOSED
             elif vm in surplus or worker.identity in departing:
                 worker.close_reason = sizings.SURPLUS
             worker.maintenance_pending = vm in later
@@ -328,14 +328,14 @@
         vm.pool = pool
         self.at(self.now + MOVE_S + APPEAR_S, functools.partial(_up, self, vm))
 
-    def _maintain(self, order: upkeeps.MaintainVm) -> None:
+    def _maintain(self, order: maintenances.MaintainVm) -> None:
         vm = self.vms[order.vm]
         if not vm.up:
-            self.upkeep.note_refused(order, self.now, for_good=False)
+            self.maintenance.note_refused(order, self.now, for_good=False)
             return
         self.kill(vm)
         vm.condition = fleet.Condition.MAINTAINED
-        self.upkeep.note_ordered(order, self.now)
+        self.maintenance.note_ordered(order, self.now)
         when = self.now + MAINTENANCE_S + APPEAR_S
         self.at(when, functools.partial(_up, self, vm))
 
@@ -486,7 +486,7 @@
                 attempts=3,
                 stretch=1.6,
                 allowance=0.6,
-                advice=None,
+                admission=None,
             )
             for name in pools
         ),
