--- a/features/steps/job_steps.py
+++ b/features/steps/job_steps.py
@@ -195,7 +195,7 @@
     (context.order,) = context.bench.start_all()
     bench = context.bench
     silent = bench.book.workers[context.order.worker]
-    silent.lease_over = 0.0
+    silent.lease_expiry = 0.0
     silent.note_extension(bench.now, timing.WORKER_LEASE_S)
     context.silent_since = bench.now
     context.restarted = None
@@ -245,7 +245,7 @@
 def reject_uncertain(context):
     context.bench.plan()
     (context.order,) = context.bench.starts()
-    context.bench.book.take_start(
+    context.bench.book.apply_start_result(
         context.bench.placed(context.order),
         messages.StartResult.NO_ROOM,
         uncertain=True,
@@ -259,7 +259,7 @@
     bench.plan()
     assert not bench.starts()
     bench.now += 0.01
-    bench.book.take_stop(
+    bench.book.confirm_stop(
         order.worker, (f"{benches.IDENTITY}.0.0.0", order.run), bench.now
     )
     bench.now += 0.01
@@ -276,7 +276,7 @@
     (context.order,) = context.bench.start_all()
     worker = context.bench.book.workers[context.order.worker]
     worker.established = False
-    worker.lease_over = context.bench.now + 100.0
+    worker.lease_expiry = context.bench.now + 100.0
     context.bench.report(worker.identity, context.bench.rows(worker.identity))
     context.worker = worker
 
@@ -285,8 +285,8 @@
 def check_one_lease(context):
     now = context.bench.now
     lease = timing.WORKER_LEASE_S
-    assert not context.worker.is_over(now + lease / models.SLOWEST)
-    assert context.worker.is_over(now + 2 * lease)
+    assert not context.worker.is_expired(now + lease / models.SLOWEST)
+    assert context.worker.is_expired(now + 2 * lease)
 
 
 @behave.given("a lasting job of {count:d} tasks of which {most:d} may be away")
@@ -310,7 +310,7 @@
         placed = context.bench.placed(order)
         if cause == "silent":
             worker = context.bench.book.workers[order.worker]
-            worker.answered = context.bench.now - eviction.SILENCE_S - 0.1
+            worker.last_alive_at = context.bench.now - eviction.SILENCE_S - 0.1
         elif cause == "stopping":
             context.bench.book.stop(
                 placed.state, placed.task, placed.run, "test"
@@ -328,7 +328,7 @@
     bench.book.remove_entry(context.orders[0].worker, bench.now)
     bench.now += time
     for worker in bench.book.workers.values():
-        worker.answered = bench.now
+        worker.last_alive_at = bench.now
     take_away(context, away, "silent")
     bench.planner.stop_and_release(bench.now, bench.now)
 
@@ -341,7 +341,7 @@
     bench = context.bench
     bench.now += time
     for worker in bench.book.workers.values():
-        worker.answered = worker.settled = bench.now
+        worker.last_alive_at = worker.inherited_stops_end = bench.now
         worker.note_extension(bench.now, timing.WORKER_LEASE_S)
     bench.placed(context.orders[0]).run.percent = 0.0
     take_away(context, away, "silent")
@@ -379,7 +379,7 @@
     bench = context.bench
     bench.now += SETTLING_S
     for worker in bench.book.workers.values():
-        worker.answered = bench.now
+        worker.last_alive_at = bench.now
     placed = bench.placed(context.orders[1])
     assert eviction.may_evict(bench.book, placed, bench.now)
 
--- a/src/rackvalve/scheduling/maintenance.py
+++ b/src/rackvalve/scheduling/maintenance.py
@@ -247,9 +247,11 @@
 
         :param vm: The VM.
         """
-        found = self._book.lives.find(vm)
+        found = self._book.workers_by_vm.find(vm)
         listed = self.vms.get(vm)
-        named = self._book.names.find(listed.worker) if listed else []
+        named = (
+            self._book.workers_by_name.find(listed.worker) if listed else []
+        )
         return found + [worker for worker in named if worker not in found]
 
     def vacate(
@@ -266,7 +268,7 @@
         """
         empty = True
         for worker in self.find_workers(vm):
-            worker.closing = reason
+            worker.close_reason = reason
             left = eviction.vacate(self._book, worker, patience, now)
             empty = empty and left
         return empty
--- a/src/rackvalve/scheduling/worker_restarts.py
+++ b/src/rackvalve/scheduling/worker_restarts.py
@@ -40,7 +40,7 @@
         return None
     earlier.replaced = True
     life = incarnations.Incarnation(worker=earlier.life.worker, born=born)
-    later = book.add_life(life.identity)
+    later = book.add_incarnation(life.identity)
     later.location = later.location or earlier.location
     later.note_extension(now, HEARD_OF_S)
     entry = earlier.entry
@@ -73,7 +73,7 @@
     found = []
     for earlier in _list_earlier(book, worker):
         _move_runs(book, earlier, worker, report)
-        release = endings.end_life(
+        release = endings.end_incarnation(
             book, earlier.identity, releases.RESTARTED, now=now, wall=wall
         )
         if release is not None:
@@ -90,7 +90,7 @@
     """
     return [
         other
-        for other in book.names.find(worker.life.worker)
+        for other in book.workers_by_name.find(worker.life.worker)
         if other is not worker
         and (
             other.replaced
