--- a/features/steps/count_steps.py
+++ b/features/steps/count_steps.py
@@ -44,7 +44,7 @@
 
     def answer(self, result, *, uncertain=False):
         """Have the first start answered."""
-        self.bench.book.take_start(
+        self.bench.book.apply_start_result(
             self.bench.placed(self.order),
             result,
             uncertain=uncertain,
@@ -67,7 +67,7 @@
             cause=cause,
             checkpoint="",
         )
-        self.bench.handler.take(
+        self.bench.handler.apply(
             worker,
             messages.Report(sent=self.bench.now, running=(), ended=(row,)),
             now=self.bench.now,
@@ -117,7 +117,7 @@
 def _seal(words):
     _give_up(words)
     key = (f"{words.order.job}.{words.order.task}", words.order.run)
-    words.bench.book.take_stop(words.order.worker, key, words.bench.now)
+    words.bench.book.confirm_stop(words.order.worker, key, words.bench.now)
     words.report()
 
 
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -239,7 +239,7 @@
     worker = bench.book.workers["w1"]
     bench.now += 1.0
     if how == "is out of reach until its lease is over":
-        bench.now = worker.lease_over
+        bench.now = worker.lease_expiry
         bench.planner.stop_and_release(bench.now, bench.now)
         return
     if how == "is lost with its VM":
@@ -367,7 +367,7 @@
     bench = context.bench
     asked = bench.now + work
     bench.now = asked + late
-    bench.handler.take(
+    bench.handler.apply(
         bench.book.workers["w0"],
         messages.Report(sent=asked, running=tuple(bench.rows("w0")), ended=()),
         now=bench.now,
--- a/features/steps/standing_steps.py
+++ b/features/steps/standing_steps.py
@@ -19,7 +19,7 @@
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import maintenance
 from rackvalve.scheduling import queues
-from rackvalve.scheduling import standing
+from rackvalve.scheduling import stalls
 from rackvalve import telemetry as telemetries
 from rackvalve.workspaces import account
 from rackvalve.workspaces import directory
@@ -37,7 +37,7 @@
 
 
 def change_workers(**fields):
-    """Make a hindrance that changes both workers before the job is planned."""
+    """Make a blocker that changes both workers before the job is planned."""
 
     def apply(context):
         for name in NAMES:
@@ -98,18 +98,20 @@
         context.bench.end_life(name)
 
 
-HINDRANCES = {
+BLOCKERS = {
     "the queue is taken away": lambda context: configure(context, None),
     "the store takes no record": lambda context: context.bench.planner.plan(
         context.bench.now, context.bench.now
     ),
     "no worker confirms a start": lambda context: context.bench.plan(),
-    "a wave closes the workers": change_workers(closing=maintenance.CLOSED),
-    "the workers are surplus": change_workers(closing="surplus"),
+    "a wave closes the workers": change_workers(
+        close_reason=maintenance.CLOSED
+    ),
+    "the workers are surplus": change_workers(close_reason="surplus"),
     "the workers fall silent": silence_all,
     "the workers were never heard": change_workers(established=False),
     "the workers drain": drain,
-    "the entries are gone": change_workers(gone_since=0.0),
+    "the entries are gone": change_workers(entry_missing_since=0.0),
     "the workers are over": end_workers,
     "its workspace is at a bound": bound_workspace,
     "the workers are half full": change_workers(free=HALF),
@@ -121,16 +123,16 @@
 }
 
 
-@behave.given("a job of {job} on 2 workers, and {hindrance}")
-def make_job(context, job, hindrance):
+@behave.given("a job of {job} on 2 workers, and {blocker}")
+def make_job(context, job, blocker):
     context.bench = bench = benches.Bench(NAMES)
     context.answering = list(NAMES)
     context.state = bench.add(JOBS[job])
-    context.watch = standing.Watch(
+    context.detector = stalls.StallDetector(
         bench.book, bench.planner, timing.FRESHNESS_S
     )
-    HINDRANCES[hindrance](context)
-    if hindrance == "the workers were never heard":
+    BLOCKERS[blocker](context)
+    if blocker == "the workers were never heard":
         context.answering.clear()
 
 
@@ -153,7 +155,7 @@
     context.looks = []
     for _ in range(3):
         pass_second(context)
-        context.looks.append(context.watch.look(context.bench.now))
+        context.looks.append(context.detector.scan(context.bench.now))
 
 
 @behave.then('it says "{cause}" and that the workers are "{workers}"')
@@ -187,12 +189,12 @@
 def open_workers(context):
     look(context)
     for name in NAMES:
-        context.bench.book.workers[name].closing = ""
+        context.bench.book.workers[name].close_reason = ""
     context.bench.now += 1.0
     for name in NAMES:
         context.bench.report(name)
     context.bench.plan()
-    context.looks = [context.watch.look(context.bench.now)]
+    context.looks = [context.detector.scan(context.bench.now)]
 
 
 @behave.when("the run ends and the next one has not begun at the next look")
@@ -200,10 +202,10 @@
     for name in NAMES:
         context.bench.report(name)
     (end,) = context.bench.handler.ended
-    context.watch.note_end(end.task)
+    context.detector.note_end(end.task)
     assert context.state.waiting
-    look_once = context.watch.look(context.bench.now + 1.0)
-    context.looks = [look_once, context.watch.look(context.bench.now + 2.0)]
+    look_once = context.detector.scan(context.bench.now + 1.0)
+    context.looks = [look_once, context.detector.scan(context.bench.now + 2.0)]
 
 
 @behave.then(
@@ -213,8 +215,8 @@
     (job,) = [job for look in context.looks for job in look.jobs]
     assert job.cause.value == cause, job
     assert job.task == str(context.order.task), job
-    assert job.hindrance.workers == (context.order.worker,), job
-    assert 0.0 < job.hindrance.proof_in < timing.WORKER_LEASE_S, job
+    assert job.blocker.workers == (context.order.worker,), job
+    assert 0.0 < job.blocker.proof_in < timing.WORKER_LEASE_S, job
 
 
 @behave.given(
@@ -228,7 +230,7 @@
             state.accepted += 1.0
             state.next_run = 2
             state.finish(state.phase.COMPLETED, 0.0, "")
-            context.bench.book.mark(state)
+            context.bench.book.mark_changed(state)
 
 
 @behave.then(
@@ -278,7 +280,7 @@
     with mock.patch.object(logs, "write_event") as written:
         for _ in range(3):
             pass_second(context)
-            context.reporter.log_standing(context.bench.now)
+            context.reporter.log_stalls(context.bench.now)
     context.lines = written.call_args_list
 
 
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -232,7 +232,7 @@
         if self.deposed:
             return
         first = not worker.established
-        self._handler.take(worker, report, now=now, wall=clocks.read_wall())
+        self._handler.apply(worker, report, now=now, wall=clocks.read_wall())
         self._forget_ended()
         if first:
             logs.write_event(
@@ -253,7 +253,7 @@
 
     def apply_start_result(
         self,
-        placed: workers.Placed,
+        placed: workers.PlacedRun,
         result: messages.StartResult,
         uncertain: bool,
     ) -> None:
@@ -276,7 +276,7 @@
                 reason=result.value,
                 uncertain=uncertain,
             )
-        self._book.take_start(
+        self._book.apply_start_result(
             placed, result, uncertain=uncertain, now=clocks.read_steady()
         )
         self._reporter.log_begun()
@@ -288,7 +288,7 @@
         :param worker: Identity of the worker.
         :param key: Full name of the task and number of the run.
         """
-        self._book.take_stop(worker, key, clocks.read_steady())
+        self._book.confirm_stop(worker, key, clocks.read_steady())
 
     def _forget_ended(self) -> None:
         """Forget incarnations that were replaced by later ones."""
@@ -457,7 +457,7 @@
                 self._check(now)
             self._planner.plan(now, clocks.read_wall())
             # After the plan, which may have taken resources that were free.
-            self._reporter.log_standing(now)
+            self._reporter.log_stalls(now)
             self._recorder.mark_changed()
             self._send_orders()
 
@@ -469,7 +469,7 @@
         wall = clocks.read_wall()
         for release in self._planner.stop_and_release(now, wall):
             self._reporter.log_release(release)
-        self._reporter.log_held(now)
+        self._reporter.log_bounds(now)
         self._registry.forget_lost_workers(now)
         self._recorder.publish_waiting(
             now, wall, self._job_watcher.confirmed_at
--- a/src/rackvalve/manager/protocols.py
+++ b/src/rackvalve/manager/protocols.py
@@ -81,7 +81,7 @@
 
     def apply_start_result(
         self,
-        placed: workers.Placed,
+        placed: workers.PlacedRun,
         result: messages.StartResult,
         uncertain: bool,
     ) -> None:
--- a/src/rackvalve/manager/vm_controller.py
+++ b/src/rackvalve/manager/vm_controller.py
@@ -211,7 +211,7 @@
             if now >= until:
                 del self._held[vm]
                 self._uncertain.discard(vm)
-                for worker in self._book.lives.find(vm):
+                for worker in self._book.workers_by_vm.find(vm):
                     worker.ordered_away = False
                 # If the list does not show the move, it did not happen.
                 self._sizing.forget_move(vm)
@@ -292,7 +292,7 @@
         for worker in self._book.workers.values():
             self._book.closures.apply(worker)
             vm = worker.entry.vm if worker.entry is not None else ""
-            worker.leaves_later = vm in later
+            worker.maintenance_pending = vm in later
 
     def _log_sizes(self, now: float) -> None:
         if now - self._sizes_logged_at < timing.SIZES_LOG_INTERVAL_S:
@@ -361,7 +361,7 @@
         :param vm: The VM.
         :return: The workers.
         """
-        lives = self._book.lives.find(vm)
+        lives = self._book.workers_by_vm.find(vm)
         for worker in lives:
             worker.ordered_away = True
         return lives
--- a/src/rackvalve/manager/worker_registry.py
+++ b/src/rackvalve/manager/worker_registry.py
@@ -140,7 +140,7 @@
                 reason=reason,
                 runs=len(worker.runs),
             )
-        release = endings.end_life(
+        release = endings.end_incarnation(
             self._book,
             identity,
             reason,
@@ -192,12 +192,12 @@
         :param now: Present time, in seconds.
         """
         for identity, worker in list(self._book.workers.items()):
-            if worker.runs or not worker.is_over(now):
+            if worker.runs or not worker.is_expired(now):
                 continue
             is_missing = (
-                worker.gone_since is not None
-                and now - worker.gone_since > timing.ENTRY_GRACE_S
-                and now - worker.answered > timing.ENTRY_GRACE_S
+                worker.entry_missing_since is not None
+                and now - worker.entry_missing_since > timing.ENTRY_GRACE_S
+                and now - worker.last_alive_at > timing.ENTRY_GRACE_S
             )
             if worker.entry is None or worker.replaced or is_missing:
                 self.end_incarnation(
@@ -217,8 +217,8 @@
                 continue
             if identity in self._sessions:
                 continue
-            if worker.gone_since is None:
-                worker.gone_since = now
+            if worker.entry_missing_since is None:
+                worker.entry_missing_since = now
             logs.write_event(
                 "worker.recorded",
                 worker=identity,
@@ -241,7 +241,7 @@
             worker.identity,
             timeout=timing.ORDER_TIMEOUT_S,
         )
-        if len(self._book.names.find(worker.life.worker)) > 1:
+        if len(self._book.workers_by_name.find(worker.life.worker)) > 1:
             # A greater token, so that this incarnation rejects calls that
             # were sent to earlier ones.
             self._owner.tokens.raise_for(
--- a/src/rackvalve/manager/worker_session.py
+++ b/src/rackvalve/manager/worker_session.py
@@ -147,7 +147,7 @@
         outcome = self._call(
             self._client.hold,
             lease_until=until,
-            acknowledged=self._worker.acknowledged(self._owner.durable),
+            acknowledged=self._worker.find_acknowledged(self._owner.durable),
             wait=wait,
             timeout=self._hold_timeout,
         )
@@ -205,7 +205,7 @@
         """Wait until the store has the ended runs of the last report."""
         until = clocks.read_steady() + timing.RECORD_WAIT_S
         while True:
-            self._worker.acknowledged(self._owner.durable)
+            self._worker.find_acknowledged(self._owner.durable)
             left = until - clocks.read_steady()
             if not self._worker.unrecorded or left <= 0:
                 return
@@ -312,7 +312,7 @@
         return shown + timing.WORKER_LEASE_S
 
     def _try_start(
-        self, placed: workers.Placed, until: float | None
+        self, placed: workers.PlacedRun, until: float | None
     ) -> clients.Outcome:
         if until is None:
             return connections.NoAnswer(reason="no lease to give", sent=False)
--- a/src/rackvalve/scheduling/hindrance.py
+++ b/src/rackvalve/scheduling/blockers.py
@@ -1,6 +1,7 @@
-"""What keeps tasks from running whose turn has come, as their owner sees it.
+"""Finds why tasks whose turn has come do not run, for logs and metrics.
 
-It decides nothing: it says which of the planner's conditions they do not meet.
+The planner decides; this module only reports which of its conditions are not
+met.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 class Cause(enum.Enum):
-    """Why tasks do not run."""
+    """Reason why tasks do not run."""
 
     NO_QUEUE = "its queue is not in the configuration"
     NO_RECORD = "its start is not yet in the store"
@@ -41,38 +42,38 @@
 
 
 class Availability(enum.Enum):
-    """Whether a worker takes work, and why not."""
+    """Whether a worker takes new runs, and why not."""
 
     TAKING = "taking"
-    PASSED_OVER = "slow"
+    SLOW = "slow"
     WAVE = "closed for a wave"
     SURPLUS = "closed as surplus"
-    KEPT = "kept for a task under which workers crashed"
+    RESERVED = "kept for a task under which workers crashed"
     EVACUATED = "in a hall that is evacuated"
     DRAINING = "draining"
     SILENT = "silent"
-    UNASKED = "not yet heard by this owner"
+    NOT_HEARD = "not yet heard by this owner"
     NO_ENTRY = "without entry"
 
 
 class Awaited(enum.Enum):
-    """What may prove that a run on a worker is over."""
+    """Event that may prove that a run on a worker is over."""
 
     ANY = "its answer, its VM listed as off, or its lease"
     LEASE = "its lease alone, since no record tells its address"
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class Hindrance:
-    """What keeps a job's tasks.
+class Blocker:
+    """What keeps tasks of a job from running.
 
-    :param cause: Why.
-    :param since: Since when at the latest, in seconds.
-    :param pool: The pool of its workers; empty if none is known.
-    :param need: The room that its smallest waiting task takes.
+    :param cause: Reason.
+    :param since: Latest time at which it began, in seconds.
+    :param pool: Pool of the job's queue; empty if it is not known.
+    :param need: Resources that the smallest waiting task takes.
     :param workers: Workers whose runs are not proved over.
-    :param proof_in: Time until the first of them is, in seconds.
-    :param awaited: What would prove it sooner.
+    :param proof_in: Time until the first of their leases is over, in seconds.
+    :param awaited: Events that would prove it sooner.
     """
 
     cause: Cause
@@ -84,40 +85,41 @@
     awaited: Awaited | None = None
 
 
-def availability(
+def find_availability(
     worker: workers.WorkerState, now: float, freshness: float
 ) -> Availability:
-    """Return whether a worker takes work, and why not.
+    """Return whether a worker takes new runs, and why not.
 
     :param worker: The worker.
     :param now: Present time, in seconds.
-    :param freshness: Longest time since its last answer, in seconds.
+    :param freshness: Longest accepted age of its last answer, in seconds.
     """
-    if worker.entry is None or worker.gone_since is not None:
+    if worker.entry is None or worker.entry_missing_since is not None:
         return Availability.NO_ENTRY
     if not worker.established:
-        return Availability.UNASKED
-    if now - worker.heard > freshness:
+        return Availability.NOT_HEARD
+    if now - worker.last_answer_at > freshness:
         return Availability.SILENT
     if worker.entry.draining:
         return Availability.DRAINING
-    if worker.closing == maintenance.CLOSED:
+    if worker.close_reason == maintenance.CLOSED:
         return Availability.WAVE
     if worker.evacuated:
         return Availability.EVACUATED
-    if worker.closing:
+    if worker.close_reason:
         return Availability.SURPLUS
     return Availability.TAKING
 
 
 class PoolState:
-    """The workers of one pool at one moment.
+    """The workers of one pool at one time.
 
-    :param known: All its workers.
-    :param members: Those that the planner places work on.
-    :param reserved: Identities of those that one job alone may start on.
+    :param known: All workers of the pool.
+    :param members: Workers on which the planner places runs.
+    :param reserved: Identities of workers that are reserved for one job.
     :param now: Present time, in seconds.
-    :param freshness: Longest time since a worker's last answer, in seconds.
+    :param freshness: Longest accepted age of a worker's last answer, in
+        seconds.
     """
 
     __slots__ = ("counts", "_members", "_largest")
@@ -140,24 +142,24 @@
         taking = {worker.identity for worker in self._members}
         self.counts: collections.Counter[Availability] = collections.Counter()
         for worker in known:
-            kind = availability(worker, now, freshness)
+            kind = find_availability(worker, now, freshness)
             if worker.identity in taking:
                 kind = Availability.TAKING
             elif worker.identity in names:
-                kind = Availability.KEPT
+                kind = Availability.RESERVED
             elif kind is Availability.TAKING:
-                kind = Availability.PASSED_OVER
+                kind = Availability.SLOW
             self.counts[kind] += 1
-        # What fits into none of these fits nowhere: a few rooms stand for
-        # hundreds of workers, whose jobs may wait in thousands.
+        # A task that fits into none of these fits on no worker: a few values
+        # stand for hundreds of workers and are checked for thousands of jobs.
         self._largest = _find_largest(
             {worker.free for worker in self._members}
         )
 
     @property
     def takes_work(self) -> bool:
-        """Whether any worker takes work."""
-        kinds = (Availability.TAKING, Availability.KEPT)
+        """Whether any worker takes new runs."""
+        kinds = (Availability.TAKING, Availability.RESERVED)
         return any(self.counts[kind] for kind in kinds)
 
     def has_room(
@@ -168,8 +170,8 @@
     ) -> bool:
         """Return whether a worker has room for a task.
 
-        :param need: The room that it takes.
-        :param labels: The labels that it asks for.
+        :param need: Resources that the task takes.
+        :param labels: Labels that it requires.
         :param tickets: Admitted workers; ``None`` if all are.
         """
         if not any(room.fits(need) for room in self._largest):
@@ -185,13 +187,14 @@
         )
 
 
-class Judge:
-    """Finds what keeps jobs, at one moment.
+class BlockerFinder:
+    """Finds what keeps jobs from running, at one time.
 
     :param book: The book.
-    :param planner: The planner over it.
+    :param planner: Its planner.
     :param now: Present time, in seconds.
-    :param freshness: Longest time since a worker's last answer, in seconds.
+    :param freshness: Longest accepted age of a worker's last answer, in
+        seconds.
     """
 
     __slots__ = ("_book", "_planner", "_now", "_freshness", "_pools")
@@ -217,7 +220,7 @@
         found = self._pools.get(name)
         if found is None:
             found = self._pools[name] = PoolState(
-                self._book.members.find(name),
+                self._book.workers_by_pool.find(name),
                 self._planner.list_members(name, self._now),
                 self._planner.list_reserved(name),
                 self._now,
@@ -225,73 +228,74 @@
             )
         return found
 
-    def is_at_work(self, placed: workers.Placed) -> bool:
-        """Return whether a worker that answers has told of a run.
+    def is_at_work(self, placed: workers.PlacedRun) -> bool:
+        """Return whether a worker that answers has confirmed a run.
 
         :param placed: The run.
         """
         stage = placed.run.stage
         if stage is progress.Stage.STOPPING:
-            told = placed.run.confirmed_at is not None
+            is_confirmed = placed.run.confirmed_at is not None
         else:
-            told = stage is progress.Stage.CONFIRMED
-        return told and self._answers(placed)
+            is_confirmed = stage is progress.Stage.CONFIRMED
+        return is_confirmed and self._answers(placed)
 
     def find(
         self,
         state: progress.JobState,
         waiting: Collection[definition.TaskName],
-        runs: Sequence[workers.Placed],
-    ) -> Hindrance | None:
-        """Find what keeps tasks of which nothing is at work.
+        runs: Sequence[workers.PlacedRun],
+    ) -> Blocker | None:
+        """Find what keeps tasks from running.
 
         :param state: Their job.
-        :param waiting: Those that wait for a run.
-        :param runs: The runs of the others.
+        :param waiting: Tasks that wait for a run.
+        :param runs: Runs of the other tasks, none of them confirmed by a
+            worker that answers.
         :return: ``None`` if no task's turn has come.
         """
         queue = self._book.queues.get(state.queue)
         if queue is None:
-            return Hindrance(cause=Cause.NO_QUEUE, since=self._now)
-        under_way = self._find_start(runs, queue.pool)
-        if under_way is not None:
-            return under_way
+            return Blocker(cause=Cause.NO_QUEUE, since=self._now)
+        starting = self._find_pending_start(runs, queue.pool)
+        if starting is not None:
+            return starting
         found = self._find_waiting(state, waiting, queue)
         unclear = found is None or found.cause in (
             Cause.NOTHING,
             Cause.NOT_TOGETHER,
         )
         if runs and unclear:
-            return self._find_proof(runs, queue.pool)
+            return self._find_awaited_proof(runs, queue.pool)
         if found is None and not waiting and not state.job.repetitions:
-            return Hindrance(
+            return Blocker(
                 cause=Cause.FORGOTTEN, since=self._now, pool=queue.pool
             )
         return found
 
-    def _answers(self, placed: workers.Placed) -> bool:
+    def _answers(self, placed: workers.PlacedRun) -> bool:
         worker = self._book.workers.get(placed.run.worker)
         if worker is None or not worker.established:
             return False
-        return self._now - worker.heard <= self._freshness
+        return self._now - worker.last_answer_at <= self._freshness
 
-    def _find_start(
-        self, runs: Sequence[workers.Placed], pool: str
-    ) -> Hindrance | None:
-        """Find a start that is under way."""
+    def _find_pending_start(
+        self, runs: Sequence[workers.PlacedRun], pool: str
+    ) -> Blocker | None:
+        """Find a start that is not yet recorded or not yet confirmed."""
         planned = [
             placed.run.since
             for placed in runs
             if placed.run.stage is progress.Stage.PLANNED
         ]
         if planned:
-            return Hindrance(
+            return Blocker(
                 cause=Cause.NO_RECORD, since=min(planned), pool=pool
             )
         ordered = [placed for placed in runs if self._answers(placed)]
         if not ordered:
             return None
-        return Hindrance(
+        return Blocker(
             cause=Cause.NO_CONFIRMATION,
             since=min(placed.run.since for placed in ordered),
             pool=pool,
@@ -303,10 +307,10 @@
         state: progress.JobState,
         waiting: Collection[definition.TaskName],
         queue: queues.Queue,
-    ) -> Hindrance | None:
-        """Find what keeps the smallest task that waits."""
-        # The first of each step stands for the others: a job may have
-        # thousands of tasks.
+    ) -> Blocker | None:
+        """Find what keeps the smallest waiting task from running."""
+        # The first task of each step stands for all, since a job may have
+        # thousands.
         ready: dict[int, definition.TaskName] = {}
         for name in waiting:
             if name.step not in ready:
@@ -316,14 +320,14 @@
             return None
         first = min(ready.values(), key=lambda name: _size(state, name))
         need = fleet.get_resource_request(state.step_of(first))
-        return Hindrance(
-            cause=self._judge_task(state, queue, first, need),
+        return Blocker(
+            cause=self._find_task_cause(state, queue, first, need),
             since=self._now,
             pool=queue.pool,
             need=need,
         )
 
-    def _judge_task(
+    def _find_task_cause(
         self,
         state: progress.JobState,
         queue: queues.Queue,
@@ -353,39 +357,41 @@
                 return Cause.NO_TICKET
         return Cause.NOT_TOGETHER if step.gang else Cause.NOTHING
 
-    def _find_proof(
-        self, runs: Sequence[workers.Placed], pool: str
-    ) -> Hindrance:
-        """Tell whose word is awaited on runs that may still be there."""
+    def _find_awaited_proof(
+        self, runs: Sequence[workers.PlacedRun], pool: str
+    ) -> Blocker:
+        """Find what would prove that runs on silent workers are over."""
         names = tuple({placed.run.worker: None for placed in runs})
         found = [
             self._book.workers[name]
             for name in names
             if name in self._book.workers
         ]
-        first = min(found, key=lambda worker: worker.lease_over, default=None)
+        first = min(
+            found, key=lambda worker: worker.lease_expiry, default=None
+        )
         if first is None:
-            return Hindrance(
+            return Blocker(
                 cause=Cause.NO_PROOF,
                 since=self._now,
                 pool=pool,
                 workers=names,
             )
-        answered = min(worker.heard for worker in found)
-        return Hindrance(
+        answered = min(worker.last_answer_at for worker in found)
+        return Blocker(
             cause=Cause.NO_PROOF,
-            since=max(self._book.began, answered),
+            since=max(self._book.owned_since, answered),
             pool=pool,
             workers=names,
-            proof_in=max(0.0, first.lease_over - self._now),
+            proof_in=max(0.0, first.lease_expiry - self._now),
             awaited=Awaited.LEASE if first.location is None else Awaited.ANY,
         )
 
 
 def _find_largest(rooms: Collection[fleet.Resources]) -> list[fleet.Resources]:
-    """Return the rooms that lie within no other one."""
+    """Return the resources that fit into no other value."""
     largest: list[fleet.Resources] = []
-    # A room that holds another one comes before it.
+    # A value into which another fits is sorted before it.
     for room in sorted(rooms, key=_sum, reverse=True):
         if not any(other.fits(room) for other in largest):
             largest.append(room)
