--- a/src/rackvalve/manager/vm_controller.py
+++ b/src/rackvalve/manager/vm_controller.py
@@ -103,10 +103,10 @@
         self._telemetry = telemetry
         self._on_change = on_change
         self._maintenance = maintenances.MaintenancePlanner(book)
-        self._silence = failure_detector.FailureDetector(
+        self._detector = failure_detector.FailureDetector(
             book, self._maintenance
         )
-        self._sizing = sizings.Sizer(book, self._maintenance, self._silence)
+        self._sizer = sizings.Sizer(book, self._maintenance, self._detector)
         self._order_pause = order_pause
         # VMs on hold because of an uncertain order or one of an earlier owner,
         # and until when.
@@ -149,7 +149,7 @@
             # An old move left in the record would seem to be this owner's.
             self._writer.enqueue(MOVES_KEY, self._make_moves_record)
         for vm, pool in self._moves.items():
-            self._sizing.restore(vm, pool)
+            self._sizer.restore(vm, pool)
         self._uncertain = self._held.keys() - moves.keys()
         for vm in self._held:
             self._mark_ordered_away(vm)
@@ -185,9 +185,9 @@
 
     def _choose_list_interval(self) -> float:
         """Return the present interval of listing the VMs, in seconds."""
-        if self._maintenance.is_busy or self._silence.has_overdue:
+        if self._maintenance.is_busy or self._detector.has_overdue:
             return timing.LIST_BUSY_INTERVAL_S
-        if self._sizing.moving:
+        if self._sizer.moving:
             return timing.LIST_BUSY_INTERVAL_S
         return timing.LIST_INTERVAL_S
 
@@ -214,7 +214,7 @@
                 for worker in self._book.workers_by_vm.find(vm):
                     worker.ordered_away = False
                 # If the list does not show the move, it did not happen.
-                self._sizing.forget_move(vm)
+                self._sizer.forget_move(vm)
         self._maintenance.held = frozenset(self._held)
 
     def _prune_orders(self, now: float) -> None:
@@ -259,7 +259,7 @@
         self._maintenance.take_list(found, self._listed_at)
 
     def _step(self, now: float) -> None:
-        for worker in self._silence.check(now):
+        for worker in self._detector.check(now):
             logs.write_warning(
                 "worker.lost",
                 worker=worker,
@@ -267,11 +267,11 @@
             )
         for maintain in self._maintenance.decide(
             now,
-            short=self._sizing.is_short,
-            reserved=self._sizing.count_reserved(now),
+            short=self._sizer.is_short,
+            reserved=self._sizer.count_reserved(now),
         ):
             self._spawn(functools.partial(self._maintain, maintain))
-        for move in self._sizing.decide(now):
+        for move in self._sizer.decide(now):
             self._spawn(functools.partial(self._move, move))
         self._apply_closures()
         self._log_sizes(now)
@@ -281,24 +281,24 @@
     def _apply_closures(self) -> None:
         """Set which VMs are closed and why, in the book and its workers."""
         self._book.set_evacuated(self._view.evacuated)
-        later = self._maintenance.list_pending()
+        pending = self._maintenance.list_pending()
         closed = {
             vm: closures.Closure(reason=UNCERTAIN) for vm in self._uncertain
         }
-        closed |= self._sizing.find_closures()
+        closed |= self._sizer.find_closures()
         for vm in self._maintenance.list_leaving():
             closed[vm] = closures.Closure(reason=maintenances.CLOSED)
         self._book.closures.set(closed)
         for worker in self._book.workers.values():
             self._book.closures.apply(worker)
             vm = worker.entry.vm if worker.entry is not None else ""
-            worker.maintenance_pending = vm in later
+            worker.maintenance_pending = vm in pending
 
     def _log_sizes(self, now: float) -> None:
         if now - self._sizes_logged_at < timing.SIZES_LOG_INTERVAL_S:
             return
         self._sizes_logged_at = now
-        for name, size in self._sizing.pools.items():
+        for name, size in self._sizer.pools.items():
             self._telemetry.pool_demand.labels(name).set(size.forecast.newest)
             self._telemetry.pool_size.labels(name).set(size.have)
             logs.write_event(
@@ -339,7 +339,7 @@
         uncertain = False
         for _ in range(timing.VM_ORDER_ATTEMPTS):
             self._confirm_ownership(vm)
-            lives = self._mark_ordered_away(vm)
+            affected = self._mark_ordered_away(vm)
             outcome = send()
             if isinstance(outcome, clients.Unavailable):
                 uncertain = True
@@ -348,7 +348,7 @@
                 if isinstance(outcome, clients.Ordered):
                     return outcome
                 if not uncertain:
-                    for worker in lives:
+                    for worker in affected:
                         worker.ordered_away = False
                     return outcome
             gevent.sleep(timing.VM_ORDER_RETRY_DELAY_S)
@@ -361,17 +361,17 @@
         :param vm: The VM.
         :return: The workers.
         """
-        lives = self._book.workers_by_vm.find(vm)
-        for worker in lives:
+        affected = self._book.workers_by_vm.find(vm)
+        for worker in affected:
             worker.ordered_away = True
-        return lives
+        return affected
 
     def _hold_uncertain(self, vm: str) -> None:
         """Put a VM on hold whose order remained unanswered."""
         now = clocks.read_steady()
         self._held[vm] = now + self._order_pause
         if vm in self._moves:
-            self._sizing.restore(vm, self._moves[vm])
+            self._sizer.restore(vm, self._moves[vm])
         else:
             self._uncertain.add(vm)
         self._release_held(now)
@@ -431,7 +431,7 @@
             lambda: self._machines.move(order.vm, order.pool, self._fence),
         )
         self._telemetry.vm_orders.labels("move", type(outcome).__name__).inc()
-        size = self._sizing.pools.get(order.pool)
+        size = self._sizer.pools.get(order.pool)
         logs.write_event(
             "vm.moved",
             ordered_vm=order.vm,
@@ -446,7 +446,7 @@
         if not isinstance(outcome, clients.Ordered):
             # A move that may still be carried out is kept until the hold ends.
             if order.vm not in self._held:
-                self._sizing.forget_move(order.vm)
+                self._sizer.forget_move(order.vm)
 
     def _record_waves(self) -> None:
         for number, state in self._maintenance.waves.items():
--- a/src/rackvalve/manager/worker_session.py
+++ b/src/rackvalve/manager/worker_session.py
@@ -130,14 +130,14 @@
 
     def _hold(self) -> clients.Report | clients.Outcome:
         now = clocks.read_steady()
-        shown = self._clock.read(now)
+        worker_now = self._clock.read(now)
         until = None
         wait = timing.HOLD_WAIT_S
-        if shown is None or not self._is_answering:
+        if worker_now is None or not self._is_answering:
             # No lease is extended before the next answer, so get it at once.
             wait = 0.0
         elif self._owner.may_extend(now):
-            until = shown + timing.WORKER_LEASE_S
+            until = worker_now + timing.WORKER_LEASE_S
             self._worker.note_extension(now, timing.WORKER_LEASE_S)
         if self._worker.unrecorded:
             # The store lacks the last ends, so the worker reports them again
@@ -305,11 +305,11 @@
         :return: The end in seconds; ``None`` if no lease can be granted.
         """
         now = clocks.read_steady()
-        shown = self._clock.read(now)
-        if shown is None or not self._owner.may_extend(now):
+        worker_now = self._clock.read(now)
+        if worker_now is None or not self._owner.may_extend(now):
             return None
         self._worker.note_extension(now, timing.WORKER_LEASE_S)
-        return shown + timing.WORKER_LEASE_S
+        return worker_now + timing.WORKER_LEASE_S
 
     def _try_start(
         self, placed: workers.PlacedRun, until: float | None
