--- a/src/rackvalve/manager/recorder.py
+++ b/src/rackvalve/manager/recorder.py
@@ -1,4 +1,4 @@
-"""Keeps the records of an owner's jobs in the store up to date."""
+"""Keeps an owner's job records and counts in the store up to date."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 class Recorder:
-    """Marks what changed in a book, and goes on once it is written.
+    """Queues writes of changed jobs, and orders runs once they are recorded.
 
     :param book: The book.
     :param writer: Writes records.
-    :param telemetry: Counts jobs that end.
-    :param keep: How long ended jobs are kept, in seconds.
-    :param on_recorded: Called after runs became orders.
+    :param telemetry: The metrics, for jobs that end.
+    :param keep: Time for which ended jobs are kept, in seconds.
+    :param on_recorded: Called after recorded runs were ordered.
     """
 
     def __init__(
@@ -43,19 +43,20 @@
         self._telemetry = telemetry
         self._keep = keep
         self._on_recorded = on_recorded
-        # Not known at first: an earlier owner may have left other numbers.
+        # ``None`` at first, as an earlier owner may have stored other counts.
         self._waiting: dict[str, int] | None = None
         self._waiting_at = float("-inf")
         self._collected_at = clocks.read_steady()
-        # Jobs whose end was told; records of late ends of runs may follow.
-        self._ended: set[str] = set()
-        # Jobs that are being removed, and those whose definitions are gone
-        # from the store.
-        self._leaving: set[str] = set()
+        # Jobs whose end is logged; their records may be written again for runs
+        # that end later.
+        self._end_logged: set[str] = set()
+        # Jobs that are being removed, and those whose definitions are already
+        # removed from the store.
+        self._removing: set[str] = set()
         self._removed: set[str] = set()
 
     def mark_changed(self) -> None:
-        """Have the records of all jobs that changed written."""
+        """Queue writes of the records of all changed jobs."""
         for identity, urgent in list(self._book.changed.items()):
             state = self._book.jobs.get(identity)
             if state is not None:
@@ -69,11 +70,12 @@
         self._book.changed.clear()
 
     def publish_waiting(self, now: float, wall: float, seen: float) -> None:
-        """Write how many jobs of each queue wait, with the time of that.
+        """Write the number of waiting jobs of each queue, with its time.
 
         :param now: Present time, in seconds.
         :param wall: Present time, seconds since 1970.
-        :param seen: When the book is known to have had all jobs, in seconds.
+        :param seen: Time at which the book is known to have held all jobs, in
+            seconds.
         """
         since = now - self._waiting_at
         if since < timing.WAITING_INTERVAL_S:
@@ -99,10 +101,10 @@
     def collect(self, now: float, wall: float) -> None:
         """Remove the records of jobs that ended long ago.
 
-        The definition goes first: without its progress it would be a job that
-        has just come, and all its tasks would run again.  For the same reason
-        the book forgets a job only a round after that, when no reading is
-        under way any more that still found it.
+        The definition is removed first: without its progress it would look
+        like a new job, and all its tasks would run again.  For the same reason
+        the book drops the job one collection later, when no read that still
+        found its definition can be in progress.
 
         :param now: Present time, in seconds.
         :param wall: Present time, seconds since 1970.
@@ -110,32 +112,32 @@
         if now - self._collected_at < timing.COLLECT_INTERVAL_S:
             return
         self._collected_at = now
-        self._forget_removed()
+        self._drop_removed()
         limit = wall - self._keep - timing.KEEP_MARGIN_S
         for state in list(self._book.jobs.values()):
             busy = any(task.runs for task in state.tasks.values())
             if not state.finished or state.finished > limit or busy:
                 continue
-            if state.identity in self._leaving:
+            if state.identity in self._removing:
                 continue
-            self._leaving.add(state.identity)
+            self._removing.add(state.identity)
             self._remove(
                 state,
                 records.Part.DEFINITION,
-                functools.partial(self._take_undefined, state),
+                functools.partial(self._remove_other_records, state),
             )
 
-    def _forget_removed(self) -> None:
+    def _drop_removed(self) -> None:
         for identity in self._removed:
             state = self._book.jobs.pop(identity, None)
             if state is not None:
                 self._book.crash_history.crashing_jobs.forget(state)
-            self._ended.discard(identity)
-            self._leaving.discard(identity)
+            self._end_logged.discard(identity)
+            self._removing.discard(identity)
         self._removed.clear()
 
-    def _take_undefined(self, state: progress.JobState) -> None:
-        """Remove the other records of a job whose definition is gone."""
+    def _remove_other_records(self, state: progress.JobState) -> None:
+        """Remove the other records of a job whose definition is removed."""
         self._removed.add(state.identity)
         self._remove(state, records.Part.CANCEL)
         self._remove(state, records.Part.PROGRESS)
@@ -157,24 +159,24 @@
         return backlogs.Record(
             payload=records.write_progress(state),
             written=functools.partial(
-                self._take_recorded, state, planned, state.phase
+                self._handle_written, state, planned, state.phase
             ),
         )
 
-    def _take_recorded(
+    def _handle_written(
         self,
         state: progress.JobState,
         planned: list[tuple[definition.TaskName, int]],
         phase: progress.Phase,
     ) -> None:
         now = clocks.read_steady()
-        if phase in progress.FINAL and state.identity not in self._ended:
-            self._ended.add(state.identity)
-            self._note_end(state, phase, now)
+        if phase in progress.FINAL and state.identity not in self._end_logged:
+            self._end_logged.add(state.identity)
+            self._log_end(state, phase, now)
         self._book.order_recorded(state.identity, planned, now)
         self._on_recorded()
 
-    def _note_end(
+    def _log_end(
         self, state: progress.JobState, phase: progress.Phase, now: float
     ) -> None:
         taken = now - state.arrived
--- a/src/rackvalve/manager/reporter.py
+++ b/src/rackvalve/manager/reporter.py
@@ -1,4 +1,4 @@
-"""Tells in log lines and measures what an owner decides."""
+"""Writes an owner's decisions and their results to logs and metrics."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from rackvalve.scheduling import stalls
 from rackvalve import telemetry as telemetries
 
-# Workers that a line names at most.
-WORKERS_MOST = 5
+# Most workers that one log line names.
+MAX_LOGGED_WORKERS = 5
 
 
 class Reporter:
-    """Tells of one owner's orders, of ends, of bounds and of what stands.
+    """Logs and counts one owner's orders, ended runs, bounds and stalled jobs.
 
     :param book: The owner's book.
-    :param handler: Handles the reports of workers.
+    :param handler: Applies workers' reports to the book.
     :param planner: Plans the runs.
-    :param telemetry: Counts what happens.
+    :param telemetry: The metrics.
     """
 
     __slots__ = (
@@ -34,9 +34,9 @@
         "_handler",
         "_planner",
         "_telemetry",
-        "_held_at",
-        "_stalls",
-        "_stalls_at",
+        "_bounds_logged_at",
+        "_stall_detector",
+        "_scanned_at",
     )
 
     def __init__(
@@ -50,19 +50,21 @@
         self._handler = handler
         self._planner = planner
         self._telemetry = telemetry
-        # When workspaces at their bounds were told of last, in seconds.
-        self._held_at = float("-inf")
-        self._stalls = stalls.StallDetector(book, planner, timing.FRESHNESS_S)
-        # When jobs that stand still were looked for last, in seconds.
-        self._stalls_at = float("-inf")
+        # When workspaces at their bounds were last logged, in seconds.
+        self._bounds_logged_at = float("-inf")
+        self._stall_detector = stalls.StallDetector(
+            book, planner, timing.FRESHNESS_S
+        )
+        # When the last scan for stalled jobs was made, in seconds.
+        self._scanned_at = float("-inf")
 
     def close(self) -> None:
-        """Tell no more of what stood: another process may own."""
+        """Reset the gauges of stalled jobs, since another process may own."""
         for cause in blockers.Cause:
             self._telemetry.jobs_standing.labels(cause.value).set(0)
 
     def log_order(self, order: messages.Order) -> None:
-        """Tell of an order to a worker.
+        """Log an order to a worker, and count a start.
 
         :param order: The order.
         """
@@ -103,13 +105,13 @@
             self._telemetry.job_wait.labels(state.queue).observe(waited)
 
     def log_bounds(self, now: float) -> None:
-        """Tell which workspaces are at their bounds, once a second.
+        """Log the workspaces that are at their bounds, once a second.
 
         :param now: Present time, in seconds.
         """
-        if now - self._held_at < timing.SIZES_LOG_INTERVAL_S:
+        if now - self._bounds_logged_at < timing.SIZES_LOG_INTERVAL_S:
             return
-        self._held_at = now
+        self._bounds_logged_at = now
         for name, tasks in self._planner.held.items():
             workspace = self._book.configuration.workspaces.find(name)
             if not tasks or workspace is None:
@@ -129,7 +131,7 @@
             )
 
     def log_begun(self) -> None:
-        """Tell of the jobs that have begun since the last time."""
+        """Log the jobs that have begun since the last call."""
         now = clocks.read_steady()
         for state in self._book.begun:
             logs.write_event(
@@ -141,10 +143,10 @@
         self._book.begun.clear()
 
     def log_ends(self) -> None:
-        """Tell of the ends that were handled since the last time."""
+        """Log and count the ended runs handled since the last call."""
         for end in self._handler.ended:
             if end.counted:
-                self._stalls.note_end(end.task)
+                self._stall_detector.note_end(end.task)
             self._telemetry.runs_ended.labels(end.cause).inc()
             logs.write_event(
                 "run.ended",
@@ -157,7 +159,7 @@
         self._handler.ended.clear()
 
     def log_release(self, release: releases.Release) -> None:
-        """Tell of runs that a proof has ended.
+        """Log and count runs that were released by a proof.
 
         :param release: The runs and the proof.
         """
@@ -186,14 +188,14 @@
             )
 
     def log_stalls(self, now: float) -> None:
-        """Tell which jobs stand still, once a second.
+        """Log and count stalled jobs, once a second.
 
         :param now: Present time, in seconds.
         """
-        if now - self._stalls_at < timing.SIZES_LOG_INTERVAL_S:
+        if now - self._scanned_at < timing.SIZES_LOG_INTERVAL_S:
             return
-        self._stalls_at = now
-        found = self._stalls.scan(now)
+        self._scanned_at = now
+        found = self._stall_detector.scan(now)
         counts = found.count()
         for cause in blockers.Cause:
             gauge = self._telemetry.jobs_standing.labels(cause.value)
@@ -229,7 +231,7 @@
         fields["memory"] = blocker.need.memory
         fields["gpu"] = blocker.need.gpu
     if blocker.workers:
-        fields["workers"] = list(blocker.workers[:WORKERS_MOST])
+        fields["workers"] = list(blocker.workers[:MAX_LOGGED_WORKERS])
     if blocker.proof_in is not None:
         fields["proof_in"] = round(blocker.proof_in, 3)
     if blocker.awaited is not None:
@@ -252,7 +254,7 @@
     counts: collections.Counter[blockers.Cause]
     | collections.Counter[blockers.Availability],
 ) -> list[str]:
-    """Return counts as texts, the greatest first."""
+    """Return non-zero counts as texts, the greatest first."""
     return [
         f"{key.value}: {count}" for key, count in counts.most_common() if count
     ]
