--- a/features/job_history.py
+++ b/features/job_history.py
@@ -1,12 +1,12 @@
 """Generated histories of jobs, owners and workers over the product's cores.
 
 The store, the workers and the network are small models with the platform's
-rules; every decision is made by the product's own book, planner, reports and
-records.  Owners change while the old one lives on, orders and answers are
-lost or late, workers crash and are cut off from single owners.  VMs go off and
-come back, new lives fall silent for a second, the platform's list tells of a
-moment ago, and owners are paused while answers wait for them.  The checks look
-only at what workers did.
+rules; all decisions are made by the product's own book, planner, reports and
+records.  Owners change while the old one is still running, orders and answers
+are lost or late, workers crash and are cut off from single owners.  VMs go off
+and come back, new incarnations are silent for a second, the platform's list is
+stale, and owners are paused while answers wait for them.  The checks use only
+what workers did.
 """
 
 from __future__ import annotations
@@ -21,14 +21,15 @@
 from rackvalve.manager import timing
 from rackvalve.scheduling import messages
 
-# How long a VM that has crashed is off, and an owner is paused, in seconds.
-OFF_S = (0.1, 0.5, 1.0, 2.0)
+# Times for which a crashed VM is off, and an owner is paused, in seconds.
+OFF_TIMES_S = (0.1, 0.5, 1.0, 2.0)
 PAUSES_S = (0.5, 1.5, 3.0)
-# How long a worker is away that starts again under its name, in seconds.
-AGAIN_S = (0.0, 0.05, 0.3, 1.5)
-# How long a life is silent, and how long after its start, in seconds.
-QUIET_S = 1.0
-QUIET_AFTER_S = (0.0, 0.3, 0.6)
+# Times until a crashed worker restarts under its name, in seconds.
+RESTART_DELAYS_S = (0.0, 0.05, 0.3, 1.5)
+# Time for which a new worker is silent, and times after its start at which
+# that begins, in seconds.
+SILENCE_S = 1.0
+SILENCE_DELAYS_S = (0.0, 0.3, 0.6)
 
 
 class History:
@@ -41,31 +42,34 @@
         self.world.bound = rules.bound
         self.store = models.FakeStore()
         self.platform = models.FakePlatform(self.world)
-        self.lives: dict[str, models.FakeWorker] = {}
-        self.names = 0
-        # VMs that are off, and when they come back.
+        self.workers: dict[str, models.FakeWorker] = {}
+        self.count = 0
+        # VMs that are off, and the times at which they come back.
         self.off: dict[str, float] = {}
         for vm in ("v1", "v2", "v3"):
-            self.add_life(vm)
+            self.add_worker(vm)
         self.owners: list[owners.ActingOwner] = []
-        # Calls that are carried out later, by whoever has the name then.
-        self.late: list[tuple[str, Callable[[models.FakeWorker], object]]] = []
-        # Workers that start again under their names, and when.
-        self.again: list[tuple[float, models.FakeWorker]] = []
+        # Calls that are carried out later, by the worker that then has the
+        # name.
+        self.delayed_calls: list[
+            tuple[str, Callable[[models.FakeWorker], object]]
+        ] = []
+        # Workers that restart under their names, and the times of that.
+        self.restarting: list[tuple[float, models.FakeWorker]] = []
         self.change_owner()
 
-    def add_life(self, vm: str, name: str = "") -> None:
-        self.names += 1
-        name = name or f"w{self.names}"
+    def add_worker(self, vm: str, name: str = "") -> None:
+        self.count += 1
+        name = name or f"w{self.count}"
         identity = name
         if self.rules.restarting and self.rules.births:
-            identity = f"{name}@{self.names}"
+            identity = f"{name}@{self.count}"
         rate = self.source.choice([1.0, models.SLOWEST])
-        life = models.FakeWorker(self.world, identity, self.rules, rate, vm)
-        if self.names > 3:
-            began = self.world.now + self.source.choice(QUIET_AFTER_S)
-            life.quiet = (began, began + QUIET_S)
-        self.lives[name] = life
+        worker = models.FakeWorker(self.world, identity, self.rules, rate, vm)
+        if self.count > 3:
+            began = self.world.now + self.source.choice(SILENCE_DELAYS_S)
+            worker.silent_span = (began, began + SILENCE_S)
+        self.workers[name] = worker
         self.platform.set_worker(vm, name)
 
     def change_owner(self) -> None:
@@ -75,18 +79,18 @@
             self.world,
             self.store,
             self.platform,
-            self.lives,
+            self.workers,
             self.rules,
             self.store.owner,
         )
-        if self.lives and self.source.random() < 0.5:
+        if self.workers and self.source.random() < 0.5:
             # The new owner often cannot reach what the old one reaches.
-            owner.cut.add(self.source.choice(list(self.lives)))
+            owner.cut.add(self.source.choice(list(self.workers)))
         self.owners.append(owner)
         self.owners = self.owners[-2:]
 
     def run(self, steps: int) -> None:
-        """Run random steps; a broken promise raises models.Violation."""
+        """Run random steps; a broken rule raises models.Violation."""
         actions = [
             (self.advance, 6),
             (self.submit, 2),
@@ -95,10 +99,10 @@
             (self.act, 12),
             (self.work, 3),
             (self.change_owner, 0.7),
-            (self.flip_cut, 1.5),
+            (self.toggle_cut, 1.5),
             (self.crash, 0.3 + 0.4 * self.rules.restarting),
             (self.pause_owner, 0.2),
-            (self.carry_out_late, 1),
+            (self.run_delayed_call, 1),
         ]
         chosen = self.source.choices(
             [action for action, _ in actions],
@@ -109,14 +113,14 @@
             action()
 
     def settle(self) -> list[str]:
-        """Let all faults end and time pass; return jobs that are open."""
+        """End all faults, let time pass and return the jobs still open."""
         self.change_owner()
         owner = self.owners[-1]
         owner.cut.clear()
         self.owners = [owner]
         for _ in range(600):
             self.world.now += 0.1
-            self.bring_back()
+            self.restore_vms()
             owner.list_vms(lag=0.0)
             self.finish_tasks(chance=0.5, fail=0.0)
             self.crash_by_tasks()
@@ -144,10 +148,10 @@
 
     def advance(self) -> None:
         self.world.now += self.source.choice([0.02, 0.05, 0.1, 0.6])
-        self.bring_back()
-        for life in self.lives.values():
-            if life.alive:
-                life.lapse()
+        self.restore_vms()
+        for worker in self.workers.values():
+            if worker.alive:
+                worker.lapse()
         self.crash_by_tasks()
 
     def submit(self) -> None:
@@ -170,14 +174,14 @@
             self.store.cancels.add(self.source.choice(list(self.world.jobs)))
 
     def finish_tasks(self, chance: float = 0.3, fail: float = 0.05) -> None:
-        for life in self.lives.values():
-            life.lapse()
-            for key in list(life.running):
+        for worker in self.workers.values():
+            worker.lapse()
+            for key in list(worker.running):
                 if self.world.crashes_workers(key[0]):
                     continue
                 if self.source.random() < chance:
                     bad = self.source.random() < fail
-                    life.end(
+                    worker.end(
                         key,
                         messages.Ending.FAILED
                         if bad
@@ -185,7 +189,7 @@
                     )
 
     def act(self) -> None:
-        """Let one owner, new or old, do one of its tasks."""
+        """Let one owner, new or old, take one action."""
         owner = self.source.choice(self.owners)
         if owner.deposed or self.world.now < owner.paused_until:
             return
@@ -200,7 +204,7 @@
         elif kind == "hold":
             for identity in list(owner.book.workers):
                 if lost and self.rules.restarting:
-                    self.late.append(owner.leave_hold(identity))
+                    self.delayed_calls.append(owner.leave_hold(identity))
                 owner.hold(identity, lost)
         elif kind == "list":
             owner.list_vms(self.source.uniform(0.0, self.rules.lag))
@@ -212,7 +216,7 @@
             self.send(owner, lost)
 
     def work(self) -> None:
-        """Let an owner do all of its tasks once, without a fault."""
+        """Let an owner take each action once, without a fault."""
         owner = self.source.choice(self.owners)
         if owner.deposed or self.world.now < owner.paused_until:
             return
@@ -244,29 +248,33 @@
                     worker.note_extension(
                         self.world.now, timing.WORKER_LEASE_S
                     )
-                self.late.append(
+                self.delayed_calls.append(
                     owner.leave_start(order.worker, full, order.run, until)
                 )
         elif owner.deliver(order, lost):
             return
         owner.planned.append(order)
 
-    def carry_out_late(self) -> None:
-        if not self.late:
+    def run_delayed_call(self) -> None:
+        if not self.delayed_calls:
             return
-        name, call = self.late.pop(self.source.randrange(len(self.late)))
-        life = self.lives.get(name)
-        # A life that nobody has asked yet has no token to refuse a call by;
-        # no owner can keep a call that was left from meeting it.
-        is_met = not self.rules.restarting or (life is not None and life.fence)
-        if life is not None and life.alive and is_met:
-            call(life)
+        name, call = self.delayed_calls.pop(
+            self.source.randrange(len(self.delayed_calls))
+        )
+        worker = self.workers.get(name)
+        # A worker that no owner has asked yet has no token to reject calls
+        # by: no owner can keep a delayed call from reaching it.
+        is_met = not self.rules.restarting or (
+            worker is not None and worker.fence
+        )
+        if worker is not None and worker.alive and is_met:
+            call(worker)
 
-    def flip_cut(self) -> None:
-        if not self.lives:
+    def toggle_cut(self) -> None:
+        if not self.workers:
             return
         owner = self.source.choice(self.owners)
-        identity = self.source.choice(list(self.lives))
+        identity = self.source.choice(list(self.workers))
         owner.cut.symmetric_difference_update({identity})
 
     def pause_owner(self) -> None:
@@ -274,57 +282,57 @@
         owner.pause(self.source.choice(PAUSES_S))
 
     def crash(self) -> None:
-        """Let a VM crash, to come back soon or never."""
-        if len(self.lives) <= 1:
+        """Crash a VM, which comes back soon or never."""
+        if len(self.workers) <= 1:
             return
-        identity = self.source.choice(list(self.lives))
-        life = self.lives.pop(identity)
-        life.die()
-        if self._starts_again(life):
+        identity = self.source.choice(list(self.workers))
+        worker = self.workers.pop(identity)
+        worker.die()
+        if self._starts_again(worker):
             return
         if self.source.random() < 0.2:
-            self.platform.remove(life.vm)
-            self.add_life(f"v{self.names + 1}")
+            self.platform.remove(worker.vm)
+            self.add_worker(f"v{self.count + 1}")
             return
-        self.turn_off(life)
+        self.turn_off(worker)
 
-    def _starts_again(self, life: models.FakeWorker) -> bool:
-        """Return whether a worker will start again under its name."""
+    def _starts_again(self, worker: models.FakeWorker) -> bool:
+        """Return whether a worker will restart under its name."""
         restarting = self.rules.restarting
         if not restarting or self.source.random() >= restarting:
             return False
-        back = self.world.now + self.source.choice(AGAIN_S)
-        self.again.append((back, life))
+        back = self.world.now + self.source.choice(RESTART_DELAYS_S)
+        self.restarting.append((back, worker))
         if self.source.random() < 0.5:
-            self.platform.set_worker(life.vm, "")
+            self.platform.set_worker(worker.vm, "")
         return True
 
-    def turn_off(self, life: models.FakeWorker) -> None:
-        """Let the VM of a life that is over be off for a while."""
-        self.platform.set_worker(life.vm, "")
-        self.off[life.vm] = self.world.now + self.source.choice(OFF_S)
+    def turn_off(self, worker: models.FakeWorker) -> None:
+        """Turn the VM of a crashed worker off for a while."""
+        self.platform.set_worker(worker.vm, "")
+        self.off[worker.vm] = self.world.now + self.source.choice(OFF_TIMES_S)
 
     def crash_by_tasks(self) -> None:
-        """Crash the workers under tasks that do so."""
-        for identity, life in list(self.lives.items()):
-            tasks = [task for task, _ in life.running]
+        """Crash the workers that run crashing tasks."""
+        for identity, worker in list(self.workers.items()):
+            tasks = [task for task, _ in worker.running]
             if any(self.world.crashes_workers(task) for task in tasks):
-                life.die()
-                del self.lives[identity]
-                if not self._starts_again(life):
-                    self.turn_off(life)
+                worker.die()
+                del self.workers[identity]
+                if not self._starts_again(worker):
+                    self.turn_off(worker)
 
-    def bring_back(self) -> None:
+    def restore_vms(self) -> None:
         for vm, time in list(self.off.items()):
             if time <= self.world.now:
                 del self.off[vm]
-                self.add_life(vm)
-        waiting, self.again = self.again, []
-        for time, life in waiting:
+                self.add_worker(vm)
+        waiting, self.restarting = self.restarting, []
+        for time, worker in waiting:
             if time <= self.world.now:
-                self.add_life(life.vm, life.name)
+                self.add_worker(worker.vm, worker.name)
             else:
-                self.again.append((time, life))
+                self.restarting.append((time, worker))
 
 
 def explore(
@@ -332,17 +340,17 @@
 ) -> list[str]:
     """Run histories and return the violations found.
 
-    :param count: How many histories.
+    :param count: Number of histories.
     :param steps: Steps of each.
-    :param rules: Which parts of the rule are kept.
-    :param seed: Seed of the first history; the others follow.
+    :param rules: The rules that are kept.
+    :param seed: Seed of the first history, raised by one for each next one.
     """
     found = []
     for number in range(count):
         history = History(random.Random(seed + number), rules)
         try:
             history.run(steps)
-            history.late.clear()
+            history.delayed_calls.clear()
             left = history.settle()
             if left:
                 raise models.Violation(f"jobs never end: {left}")
--- a/features/job_models.py
+++ b/features/job_models.py
@@ -1,6 +1,7 @@
-"""Small models of the platform: a store, workers with leases and tokens.
+"""Models of the platform for job histories: store, VM list and workers.
 
-The checks of a history look only at what these workers did.
+Workers have leases and fencing tokens.  The checks of a history use only what
+these workers did.
 """
 
 from __future__ import annotations
@@ -33,32 +34,32 @@
     body_limit=1000,
 )
 CAPACITY = fleet.Resources(cpu=4, memory=4, gpu=0)
-# A worker's clock may be this much slower than ours.
+# Slowest rate of a worker's clock, relative to the owner's.
 SLOWEST = 0.98
-# What is handed in by a job whose tasks crash their workers.
+# Specification of jobs whose tasks crash their workers.
 CRASHING = "crashing"
-# After so many crashes a task may not be started that many times more.
+# After this many crashes a task may be started fewer than so many times more.
 CRASHES_MOST = 3
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Rules:
-    """Which parts of the rule the history keeps.
+    """Rules that a history keeps, and the faults that it has.
 
     :param fence: Whether workers compare fencing tokens.
     :param record: Whether a run is recorded before it is ordered.
-    :param proof: Whether silent workers are waited for.
+    :param proof: Whether owners wait for proof about silent workers.
     :param acknowledge: Whether ends are acknowledged only once recorded.
     :param bound: The most tasks that the one workspace of the history may
         have running; 0 for no bound.
     :param keep_bound: Whether owners know of the bound.
-    :param lag: How far the platform's list may be behind, in seconds.
-    :param crashing: Part of the jobs whose tasks crash their workers.
-    :param restarting: Part of the crashed workers that start again under
-        their names, where calls that were left may meet them.
-    :param asking: Whether owners ask lives that only records name, too.
-    :param births: Whether owners tell the lives of a worker apart.
-    :param raised: Whether a later life is shown a greater token.
+    :param lag: Longest staleness of the platform's list, in seconds.
+    :param crashing: Share of jobs whose tasks crash their workers.
+    :param restarting: Share of crashed workers that restart under their
+        names, where delayed calls may reach them.
+    :param asking: Whether owners also ask incarnations that only records name.
+    :param births: Whether owners tell a worker's incarnations apart.
+    :param raised: Whether a later incarnation gets a greater token.
     """
 
     fence: bool = True
@@ -76,17 +77,17 @@
 
 
 class Violation(Exception):
-    """A promise was broken; the text says which."""
+    """A history broke a rule; the text says which."""
 
 
 class World:
-    """What callers and workers have seen, for the checks."""
+    """What callers and workers saw, for the checks."""
 
     def __init__(self) -> None:
         self.now = 100.0
         self.jobs: dict[str, definition.Job] = {}
         self.running: dict[str, set[tuple[str, int]]] = {}
-        # Tasks whose good end a worker was told to forget.
+        # Tasks whose successful end a worker was told to discard.
         self.settled: set[str] = set()
         self.done: set[str] = set()
         self.failures: collections.Counter[str] = collections.Counter()
@@ -96,8 +97,8 @@
         self.begun: set[str] = set()
         # The most tasks that may run at once; 0 for any number.
         self.bound = 0
-        # Workers that crashed under each task that crashes them, and its
-        # starts since the last one that may be.
+        # Crashes of workers by crashing task, and its starts after
+        # CRASHES_MOST of them.
         self.crashes: collections.Counter[str] = collections.Counter()
         self.late_starts: collections.Counter[str] = collections.Counter()
 
@@ -110,7 +111,7 @@
             self.crashes[task] += 1
 
     def check_given_up(self, identity: str) -> None:
-        """Only what crashes workers, or has failed too often, is given up."""
+        """Check that a failed job crashes workers or has failed too often."""
         if self.jobs[identity].spec == CRASHING:
             return
         most = max(
@@ -125,7 +126,7 @@
             raise Violation(f"{identity} is given up and could be done")
 
     def check_begun(self, identity: str) -> None:
-        """A job that is told of as begun was started by a worker."""
+        """Check that a worker started a job that is reported as begun."""
         if identity not in self.begun:
             raise Violation(f"{identity} is running and no worker started it")
 
@@ -163,17 +164,17 @@
 
 
 class FakePlatform:
-    """The VMs, and a list of them that tells of a moment ago."""
+    """The VMs, and a stale list of them."""
 
     def __init__(self, world: World) -> None:
         self.world = world
         self.vms: dict[str, fleet.Vm] = {}
         self.past: list[tuple[float, list[fleet.Vm]]] = []
-        # The moment that the newest reading told of: no later one goes back.
+        # Time that the newest read showed; later reads do not go back.
         self.told = world.now
 
     def set_worker(self, vm: str, worker: str) -> None:
-        """Let a worker live on a VM, or nobody: then it is off."""
+        """Set the worker on a VM; without one the VM is off."""
         condition = fleet.Condition.UP if worker else fleet.Condition.DOWN
         self.vms[vm] = fleet.Vm(
             identity=vm,
@@ -193,13 +194,13 @@
         return [vms for time, vms in self.past if time <= self.told][-1]
 
     def is_replaced(self, vm: str, worker: str) -> bool:
-        """Return whether another life answers at a worker's address."""
+        """Return whether another worker is on a worker's VM."""
         listed = self.vms.get(vm)
         return listed is not None and listed.worker not in ("", worker)
 
 
 class FakeWorker:
-    """One life of a worker, with the platform's rules."""
+    """One incarnation of a worker, with the platform's rules."""
 
     def __init__(
         self,
@@ -213,8 +214,8 @@
         self.identity = identity
         self.name = incarnations.parse_incarnation(identity).worker
         self.vm = vm or self.name
-        # When it answers nothing, though it runs.
-        self.quiet = (world.now, world.now)
+        # Begin and end of the time in which it runs and does not answer.
+        self.silent_span = (world.now, world.now)
         self.rules = rules
         self.rate = rate
         self.started = world.now
@@ -231,7 +232,7 @@
 
     @property
     def answers(self) -> bool:
-        began, ended = self.quiet
+        began, ended = self.silent_span
         return self.alive and not began <= self.world.now < ended
 
     def entry(self) -> fleet.Entry:
@@ -348,7 +349,7 @@
 
 
 class FakeStore:
-    """Records and the ownership key."""
+    """The job records and the ownership key."""
 
     def __init__(self) -> None:
         self.owner = 0
--- a/features/standing.feature
+++ b/features/standing.feature
@@ -1,7 +1,6 @@
-# Jobs were accepted, 40 of them on some runs, and had nothing running for 3 s and
-# more while later ones started and VMs had room.  The log lines said when runs
-# were ordered and when they ended, but not why nothing was ordered, so that a
-# closed pool, a silent worker and a start without its record looked the same.
+# Guards against stalled jobs without a logged reason: up to 40 accepted jobs had
+# nothing running for 3 s and more while later ones started and VMs had room, and
+# a closed pool, a silent worker and an unrecorded start looked the same in logs.
 Feature: An owner says why a job stands still
 
   Scenario Outline: What keeps a job
--- a/features/steps/late_start_steps.py
+++ b/features/steps/late_start_steps.py
@@ -1,4 +1,4 @@
-"""Steps about starts that come late, and about runs nobody asks for."""
+"""Steps about late starts, stops of unlisted workers, and late answers."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class FakeClient:
-    """A worker whose first answer is that the lease is over."""
+    """A worker that rejects the first start since its lease is over."""
 
     def __init__(self):
         self.leases = []
@@ -78,7 +78,7 @@
 @behave.when("the start is tried again")
 def try_again(context):
     def pause(seconds):
-        # The owner's right to extend ends between two tries.
+        # The owner may lose the right to extend leases between two attempts.
         context.owner.allowed = context.may
         if len(context.pauses) > 3:
             context.bench_placed.run.stop_wanted = True
@@ -137,7 +137,7 @@
 
 
 class FakeContact:
-    """Keeps what is sent."""
+    """Records the orders that it is given."""
 
     def __init__(self, owner, worker, client):
         self.sent = []
@@ -271,7 +271,7 @@
     context.client.stop.return_value = clients.Done(clock=100.0)
     context.owner.take_stop = mock.Mock()
     full = f"{context.order.job}.{context.order.task}"
-    # No sender was started: a stop needs none.
+    # No sender was started, since a stop needs none.
     context.contact.send(
         messages.StopRun(
             worker="w1", task=full, run=context.order.run, reason=""
--- a/features/steps/standing_steps.py
+++ b/features/steps/standing_steps.py
@@ -1,4 +1,4 @@
-"""Steps about jobs that stand still, and what an owner says of them."""
+"""Steps about stalled jobs and how an owner reports them."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
     configure(context, dataclasses.replace(models.QUEUE, admission=advice))
 
 
-def silence_own(context):
+def silence_its_worker(context):
     order = context.bench.start_all()[0]
     context.order = order
     context.answering.remove(order.worker)
@@ -116,7 +116,7 @@
     "its workspace is at a bound": bound_workspace,
     "the workers are half full": change_workers(free=HALF),
     "no worker is admitted": ask_adviser,
-    "its worker falls silent": silence_own,
+    "its worker falls silent": silence_its_worker,
     "nobody plans": lambda context: None,
     "its task is forgotten": lambda context: context.state.waiting.clear(),
     "nothing else": lambda context: context.bench.start_all(),
@@ -151,11 +151,11 @@
 
 
 @behave.when("the owner looks for 3 s")
-def look(context):
-    context.looks = []
+def scan_jobs(context):
+    context.scans = []
     for _ in range(3):
         pass_second(context)
-        context.looks.append(context.detector.scan(context.bench.now))
+        context.scans.append(context.detector.scan(context.bench.now))
 
 
 @behave.then('it says "{cause}" and that the workers are "{workers}"')
@@ -169,32 +169,32 @@
 
 
 def check(context, cause, workers):
-    (pool,) = context.looks[-1].pools
+    (pool,) = context.scans[-1].pools
     assert pool.oldest.cause.value == cause, pool
     assert 2.0 <= pool.oldest.seconds <= 4.0, pool
     assert [found.value for found in pool.causes] == [cause], pool
     counts = {kind.value: number for kind, number in pool.workers.items()}
     wanted = re.findall(r"([^:,]+): (\d+)", workers)
     assert counts == {kind.strip(): int(n) for kind, n in wanted}, counts
-    (job,) = [job for look in context.looks for job in look.jobs]
+    (job,) = [job for scan in context.scans for job in scan.jobs]
     assert (job.job, job.cause) == (JOB, pool.oldest.cause), job
 
 
 @behave.then("it says nothing")
 def check_silent(context):
-    assert not any(found.pools for found in context.looks), context.looks
+    assert not any(found.pools for found in context.scans), context.scans
 
 
 @behave.when("the workers are opened after 3 s, and the job is planned")
 def open_workers(context):
-    look(context)
+    scan_jobs(context)
     for name in NAMES:
         context.bench.book.workers[name].close_reason = ""
     context.bench.now += 1.0
     for name in NAMES:
         context.bench.report(name)
     context.bench.plan()
-    context.looks = [context.detector.scan(context.bench.now)]
+    context.scans = [context.detector.scan(context.bench.now)]
 
 
 @behave.when("the run ends and the next one has not begun at the next look")
@@ -204,15 +204,15 @@
     (end,) = context.bench.handler.ended
     context.detector.note_end(end.task)
     assert context.state.waiting
-    look_once = context.detector.scan(context.bench.now + 1.0)
-    context.looks = [look_once, context.detector.scan(context.bench.now + 2.0)]
+    first = context.detector.scan(context.bench.now + 1.0)
+    context.scans = [first, context.detector.scan(context.bench.now + 2.0)]
 
 
 @behave.then(
     'it says "{cause}" of 1 task, with its worker and the time to its proof'
 )
 def check_lasting(context, cause):
-    (job,) = [job for look in context.looks for job in look.jobs]
+    (job,) = [job for scan in context.scans for job in scan.jobs]
     assert job.cause.value == cause, job
     assert job.task == str(context.order.task), job
     assert job.blocker.workers == (context.order.worker,), job
@@ -237,9 +237,9 @@
     "each second has one line for the pool, with {jobs:d} jobs and "
     "{overtaken:d} that overtook"
 )
-def check_flood(context, jobs, overtaken):
-    # At the first look nothing stands for long enough.
-    for found in context.looks[1:]:
+def check_summaries(context, jobs, overtaken):
+    # At the first scan no job is stalled for long enough.
+    for found in context.scans[1:]:
         (pool,) = found.pools
         assert pool.causes.total() == jobs, pool
         assert pool.overtaken == overtaken, pool
@@ -248,8 +248,8 @@
 @behave.then(
     "no look has told of more than {most:d} jobs, and none of them twice"
 )
-def check_few(context, most):
-    told = [[job.job for job in found.jobs] for found in context.looks]
+def check_reported(context, most):
+    told = [[job.job for job in found.jobs] for found in context.scans]
     assert all(len(jobs) <= most for jobs in told), told
     names = sum(told, [])
     assert len(names) == len(set(names)) == 2 * most, told
@@ -259,7 +259,7 @@
     "it has judged {judged:d} jobs, and says that it left out {left:d}"
 )
 def check_left_out(context, judged, left):
-    found = context.looks[-1]
+    found = context.scans[-1]
     assert found.count().total() == judged, found.count()
     assert found.unjudged == left, found.unjudged
 
@@ -284,7 +284,7 @@
     context.lines = written.call_args_list
 
 
-def read_measure(context):
+def read_gauge(context):
     (found,) = context.telemetry.jobs_standing.collect()
     return sum(sample.value for sample in found.samples)
 
@@ -305,13 +305,13 @@
         assert line.kwargs["reason"] == "no worker takes work", line
         assert line.kwargs["job"] == JOB, line
     assert context.lines[0].kwargs["workers"] == ["closed for a wave: 2"]
-    assert read_measure(context) == 1
+    assert read_gauge(context) == 1
 
 
 @behave.then("the measure is 0 once the owner has stopped")
-def check_measure(context):
+def check_gauge(context):
     context.reporter.close()
-    assert read_measure(context) == 0
+    assert read_gauge(context) == 0
 
 
 @behave.when("its lease ends")
