--- a/src/rackvalve/scheduling/crashes.py
+++ b/src/rackvalve/scheduling/crashes.py
@@ -1,15 +1,15 @@
-"""Tasks under which workers crash: who is suspected, cleared, or given up.
-
-A worker that crashes tells nothing of its runs, and each of them may be to
-blame.  So each crash is counted against all of them, and the count is part of
-the job's record, which is in the store before the task's next start: it
-outlives its owner.
-
-The count alone ends no job, for an innocent task may meet any number of
-crashes that others cause.  It decides how a task is tried again: at first
-away from other suspects, then on a worker that takes no other run meanwhile,
-and from the third crash on only where nothing else could cause the next one.
-A job ends by crashes that no other job can have caused.
+"""Attribution of worker crashes to tasks; the planner and endings use it.
+
+A crashed worker does not report on its runs, and each of them may have caused
+the crash.  So a crash is counted against all of them.  The count is stored in
+the job's record before the task's next start, and a new owner reads it there.
+
+The count alone fails no job, since other tasks may cause any number of
+crashes on the workers of a harmless task.  It decides how the task is
+retried: at first apart from other suspects, then on a worker that accepts no
+other run meanwhile, and from the third crash on only where nothing else could
+cause the next crash.  A job fails by crashes that no other job can have
+caused.
 """
 
 from __future__ import annotations
@@ -24,51 +24,51 @@
 from rackvalve.scheduling import releases
 from rackvalve.scheduling import workers
 
-# Users bear five starts of a task that crashes each worker, two after the
-# third crash.
-CRASHES_MOST = 5
-# Crashes in isolation, each soon after the start, after which a job is given
-# up: one may be the VM's own.  Of a job that runs the same as one that was
-# given up, the first is enough.
-PROMPT_CRASHES_MOST = 2
-# A run that is not known to have worked for longer than this (seconds) has
-# crashed its worker soon after its start.
-PROMPT_S = 0.3
-# Crashes after which a task is tried in isolation; after one, if others of the
-# pool have crashed lately and its run was the last that had started there.
-ISOLATED_FROM = 2
-# Crashes after which such a task starts in no other way.
-ALONE_FROM = 3
-# Crashes after which the next start is the last one that users bear: its
-# worker takes nothing else until the task is cleared.
-LAST_START_FROM = CRASHES_MOST - 1
-# Runs whose starts were confirmed so near to each other (seconds) count as
-# started at the same time; if these are more than a few, they tell nothing.
+# Users accept five starts of a task that crashes each worker, two of them
+# after the third crash.
+MAX_CRASHES = 5
+# Crashes in isolation, each soon after the start, after which a job fails:
+# the VM itself may cause one.  For a job that runs the same as one that failed
+# in this way, the first is enough.
+MAX_PROMPT_CRASHES = 2
+# A crash counts as prompt if the run is not known to have worked for longer
+# than this (seconds).
+PROMPT_CRASH_S = 0.3
+# Crashes after which a task is retried in isolation.  One is enough if other
+# workers of the pool crashed lately and its run was the last to start.
+PREFER_ISOLATION_FROM = 2
+# Crashes after which such a task starts in isolation only.
+REQUIRE_ISOLATION_FROM = 3
+# Crashes after which the next start is the last that users accept: its worker
+# accepts no other run until the task is cleared.
+LAST_START_FROM = MAX_CRASHES - 1
+# Runs whose starts were confirmed within this time (seconds) of each other
+# count as started together; more than MAX_SAME_START of them give no hint.
 SAME_START_S = 0.05
-SAME_START_MOST = 3
-# A task that finds no worker to be isolated on for this long (seconds) starts
-# anywhere, while that is still allowed: with the 0.7 s until a crash is
-# noticed this stays below the 3 s for which nothing of an accepted job may
+MAX_SAME_START = 3
+# A task that finds no worker for isolation within this time (seconds) starts
+# anywhere, while that is still allowed.  With the 0.7 s until a crash is
+# detected this stays below the 3 s that an accepted job may be without any
 # run.
 ISOLATION_WAIT_S = 1.8
-# A run that is known to have worked for this long (seconds), and longer than
-# any run of its task that a crash has ended, clears its task.  Beyond the most
-# it need not be longer: the VMs of tasks that last crash now and then.
-CLEARED_LEAST_S = 1.0
-CLEARED_MOST_S = 60.0
-# With this as the most (seconds) it is settled: it is not what crashes its
-# worker just when another task has started there.
-SETTLED_MOST_S = 3.0
+# A run clears its task once it is known to have worked for the minimum, and
+# longer than any run of the task that a crash has ended (seconds).  The
+# maximum is always enough: VMs of long-running tasks crash now and then.
+MIN_CLEARING_S = 1.0
+MAX_CLEARING_S = 60.0
+# With this maximum instead (seconds) a run is settled: it is taken not to
+# cause a crash that follows the start of another task on its worker.
+MAX_SETTLING_S = 3.0
 
 
 class Isolation(enum.Enum):
-    """Whether a task starts where no other job could cause a crash."""
+    """Whether a task starts on a worker that no other job could crash."""
 
-    # Anywhere: nothing speaks against it.
+    # The task starts on any worker.
     NONE = "none"
-    # It waits for one, though not for long.
+    # The task waits for such a worker, at most ISOLATION_WAIT_S.
     PREFERRED = "preferred"
-    # It starts nowhere else.
+    # The task starts on such a worker only.
     REQUIRED = "required"
 
     @property
@@ -89,20 +89,22 @@
     :param ended: All runs of the worker.
     :param fate: What became of the worker.
     :param now: Present time, in seconds.
-    :param is_series: Whether others of its pool have crashed lately.
+    :param is_series: Whether other workers of its pool crashed lately.
     """
-    sole = next((one for one in ended if _is_sole_suspect(one, ended)), None)
+    sole_suspect = next(
+        (one for one in ended if _is_sole_suspect(one, ended)), None
+    )
     youngest = _list_youngest(ended) if is_series else []
     for placed in ended:
-        if sole is not None and placed.state is not sole.state:
-            # It is explained without this one.
+        if sole_suspect is not None and placed.state is not sole_suspect.state:
+            # The isolated run explains the crash.
             continue
         is_counted = count_crash(placed, fate, now)
         if placed in youngest:
             placed.task.youngest_crashes += is_counted
-        if placed is sole and is_counted:
+        if placed is sole_suspect and is_counted:
             placed.task.isolated_crashes += 1
-            # Out of reach it may live on.
+            # A worker that is out of reach may still be running.
             is_known = fate is releases.Fate.CRASHED
             is_prompt = is_known and _is_prompt(placed.run)
             placed.task.prompt_crashes += is_prompt
@@ -111,18 +113,19 @@
 def count_crash(
     placed: workers.Placed, fate: releases.Fate, now: float
 ) -> bool:
-    """Count the end of a worker against a task that ran there.
+    """Count the end of a worker against a task that ran on the worker.
 
     :param placed: The run.
     :param fate: What became of the worker.
     :param now: Present time, in seconds.
-    :return: Whether it counts.
+    :return: Whether the end counts as a crash.
     """
     task, run = placed.task, placed.run
     if run.stage is progress.Stage.PLANNED or task.done:
         return False
-    # Out of reach is no sign of a crash by itself, or one pause of an owner
-    # would make suspects of all that runs; of a suspect it is taken for one.
+    # A worker out of reach counts as crashed for tasks that are suspects
+    # already.  If it did for all, one pause of the owner would make every
+    # running task a suspect.
     suspected = fate is releases.Fate.OUT_OF_REACH and task.crashes > 0
     if fate is not releases.Fate.CRASHED and not suspected:
         return False
@@ -138,9 +141,10 @@
 def _list_youngest(
     ended: Iterable[workers.Placed],
 ) -> list[workers.Placed]:
-    """Return the runs that started last on a worker, if these are few.
+    """Return the runs that started last on a worker, if they are few.
 
-    Of the orders that it has not answered only the first may have met it.
+    Of the orders that the worker has not answered, only the first may have
+    reached it.
     """
     ordered = [
         one for one in ended if one.run.stage is not progress.Stage.PLANNED
@@ -161,16 +165,16 @@
         if confirmed.get(id(one), -math.inf) >= last
         or (id(one) not in confirmed and one.run.since <= first + SAME_START_S)
     ]
-    return found if len(found) <= SAME_START_MOST else []
+    return found if len(found) <= MAX_SAME_START else []
 
 
 def _is_sole_suspect(
     placed: workers.Placed, neighbours: Iterable[workers.Placed]
 ) -> bool:
-    """Return whether no other job can have caused the crash of a worker.
+    """Return whether only the job of a run can have caused a worker's crash.
 
-    Its run was isolated, and what else ran there is of the same job, whose
-    tasks run the same, or had been at work for long when it began.
+    The run was isolated, and each other run on the worker is of the same job,
+    whose tasks run the same, or was settled when the run began.
     """
     task, run = placed.task, placed.run
     if task.done or run.stage is progress.Stage.PLANNED:
@@ -186,15 +190,15 @@
 
 
 def _is_prompt(run: progress.Run) -> bool:
-    """Return whether a run has surely not been at work for long."""
+    """Return whether a run surely crashed its worker soon after its start."""
     if run.inherited:
-        # The owner before may have seen it at work.
+        # The previous owner may have seen the run at work.
         return False
-    return _read_worked(run) <= PROMPT_S
+    return _read_work_time(run) <= PROMPT_CRASH_S
 
 
 def is_given_up(state: progress.JobState, task: progress.Task) -> bool:
-    """Return whether a job must end because of the crashes under a task.
+    """Return whether a job must fail because of a task's crashes.
 
     :param state: The job.
     :param task: The task.
@@ -202,16 +206,16 @@
     if task.done:
         return False
     prompt = sum(one.prompt_crashes for one in _list_suspects(state))
-    if prompt >= (1 if state.known_time_to_crash else PROMPT_CRASHES_MOST):
+    if prompt >= (1 if state.known_time_to_crash else MAX_PROMPT_CRASHES):
         return True
-    is_spent = task.crashes >= CRASHES_MOST
+    is_spent = task.crashes >= MAX_CRASHES
     return is_spent and count_isolated_crashes(state) > 0
 
 
 def count_isolated_crashes(state: progress.JobState) -> int:
     """Return how many crashes only tasks of a job can have caused.
 
-    Its tasks run the same, so that what one has shown stands for all.
+    The tasks of a job run the same, so the crashes of each count for all.
 
     :param state: The job.
     """
@@ -219,7 +223,7 @@
 
 
 def _list_suspects(state: progress.JobState) -> list[progress.Task]:
-    """Return the tasks of a job under which workers crashed."""
+    """Return the suspects of a job that are not done."""
     suspects = [state.tasks[name] for name in state.suspects]
     return [task for task in suspects if not task.done]
 
@@ -231,20 +235,22 @@
 
     :param worker: The worker of the run.
     :param placed: The run, as its worker has just listed it.
-    :param asked: When the worker was asked, in seconds: it ran then, while
-        the answer may have waited for a process that stood still.
-    :return: Whether it was a suspect and is none any more.
+    :param asked: When the worker was asked, in seconds.  The run was alive
+        then; the answer may have waited while this process was paused.
+    :return: Whether the task was a suspect and is no longer.
     """
     task, run, state = placed.task, placed.run, placed.state
     if run.confirmed_at is None:
         return False
-    if asked - run.confirmed_at > _limit(
-        state.known_time_to_crash, CLEARED_MOST_S
+    if asked - run.confirmed_at > _choose_required_work(
+        state.known_time_to_crash, MAX_CLEARING_S
     ):
         state.known_time_to_crash = 0.0
     if not task.crashes:
         return False
-    if asked - run.confirmed_at <= _limit(task.time_to_crash, CLEARED_MOST_S):
+    if asked - run.confirmed_at <= _choose_required_work(
+        task.time_to_crash, MAX_CLEARING_S
+    ):
         return False
     task.forget_crashes()
     state.suspects.discard(task.name)
@@ -252,9 +258,9 @@
     return True
 
 
-def _limit(lived: float, most: float) -> float:
-    """Return how long a run must work for it to speak for its task."""
-    return max(CLEARED_LEAST_S, min(most, lived))
+def _choose_required_work(time_to_crash: float, most: float) -> float:
+    """Return how long a run must work to clear its task, in seconds."""
+    return max(MIN_CLEARING_S, min(most, time_to_crash))
 
 
 def choose_isolation(
@@ -263,22 +269,22 @@
     """Return how a waiting task starts.
 
     Members of a gang start together or not at all, and are isolated only
-    where nothing else is allowed.
+    if isolation is required.
 
     :param state: Its job.
     :param task: The task.
     :param now: Present time, in seconds.
     """
     if state.known_time_to_crash or task.crashes >= LAST_START_FROM:
-        # Whoever caused the crashes, this start must tell.
+        # This start must show whether the task causes the crashes.
         return Isolation.REQUIRED
     if not task.unexplained:
         return Isolation.NONE
     is_likely = is_likely_cause(state, task)
-    if is_likely and task.crashes >= ALONE_FROM:
+    if is_likely and task.crashes >= REQUIRE_ISOLATION_FROM:
         return Isolation.REQUIRED
     is_gang = state.step_of(task.name).gang
-    if is_gang or not (is_likely or task.unexplained >= ISOLATED_FROM):
+    if is_gang or not (is_likely or task.unexplained >= PREFER_ISOLATION_FROM):
         return Isolation.NONE
     if now - task.not_before > ISOLATION_WAIT_S:
         return Isolation.NONE
@@ -286,7 +292,7 @@
 
 
 def is_likely_cause(state: progress.JobState, task: progress.Task) -> bool:
-    """Return whether more speaks against a task than that it was there.
+    """Return whether there is more evidence than presence at a crash.
 
     :param state: Its job.
     :param task: The task.
@@ -297,28 +303,34 @@
 
 
 def discount_explained(
-    culprit: progress.JobState, others: Iterable[progress.JobState]
+    crashing_job: progress.JobState, others: Iterable[progress.JobState]
 ) -> list[progress.JobState]:
-    """Take back what counts against others for crashes that a job has caused.
+    """Mark crashes that a failed job caused as explained for other jobs.
 
-    The count of all crashes stays, for it bounds the starts of each task.
+    The count of all crashes stays, since it bounds the starts of each task.
 
-    :param culprit: A job that was given up.
+    :param crashing_job: A job that failed for crashing its workers.
     :param others: The jobs that have not ended.
-    :return: Those of them of which something was taken back.
+    :return: Those of them for which a crash was marked.
     """
-    lives = set()
-    for name in culprit.suspects:
-        lives |= culprit.tasks[name].crashed_incarnations
-    return [state for state in others if _explain(state, lives)]
+    incarnations = set()
+    for name in crashing_job.suspects:
+        incarnations |= crashing_job.tasks[name].crashed_incarnations
+    return [
+        state
+        for state in others
+        if _discount_incarnations(state, incarnations)
+    ]
 
 
-def _explain(state: progress.JobState, lives: Collection[str]) -> bool:
-    """Take back what counts against a job for the ends of some lives."""
+def _discount_incarnations(
+    state: progress.JobState, incarnations: Collection[str]
+) -> bool:
+    """Mark the crashes of some incarnations as explained for a job."""
     found = False
     for name in state.suspects:
         task = state.tasks[name]
-        common = task.crashed_incarnations.intersection(lives)
+        common = task.crashed_incarnations.intersection(incarnations)
         task.crashed_incarnations -= common
         task.explained += len(common)
         left = task.unexplained
@@ -328,7 +340,7 @@
 
 
 def is_isolating(worker: workers.WorkerState) -> bool:
-    """Return whether a worker is kept for an isolated run.
+    """Return whether a worker is reserved by an isolated run.
 
     :param worker: The worker.
     """
@@ -354,23 +366,27 @@
 
 
 def _keeps_worker(placed: workers.Placed) -> bool:
-    """Return whether an isolated run still keeps its worker for itself."""
+    """Return whether an isolated run still has its worker to itself."""
     task = placed.task
     if task.unexplained and task.crashes >= LAST_START_FROM:
-        # Until it is cleared.
+        # The run keeps it until the task is cleared.
         return True
-    return _read_worked(placed.run) <= PROMPT_S
+    return _read_work_time(placed.run) <= PROMPT_CRASH_S
 
 
 def _is_settled(placed: workers.Placed) -> bool:
-    """Return whether a run is known to have been at work for long."""
+    """Return whether a run has worked too long to be a likely cause."""
     if placed.run.number == placed.task.isolated_run and _keeps_worker(placed):
         return False
-    lived = max(placed.task.time_to_crash, placed.state.known_time_to_crash)
-    return _read_worked(placed.run) > _limit(lived, SETTLED_MOST_S)
+    time_to_crash = max(
+        placed.task.time_to_crash, placed.state.known_time_to_crash
+    )
+    return _read_work_time(placed.run) > _choose_required_work(
+        time_to_crash, MAX_SETTLING_S
+    )
 
 
-def _read_worked(run: progress.Run) -> float:
+def _read_work_time(run: progress.Run) -> float:
     """Return how long a run is known to have worked, in seconds."""
     if run.confirmed_at is None or run.listed_at is None:
         return 0.0
@@ -384,28 +400,34 @@
 ) -> int:
     """Count the runs on a worker that a task is better kept apart from.
 
-    After one crash suspects are kept apart, so that fewer of them are hit by
-    the next one.  After several they are kept from what has just started and
-    may yet crash its first worker, and all others from them.
+    After one crash suspects are kept apart from each other, so that the next
+    crash hits fewer of them.  After several they are kept from runs that have
+    just started and may yet crash their first worker, and all other tasks are
+    kept from these suspects.
 
     :param worker: The worker.
     :param state: The task's job.
     :param task: The task.
     """
-    if _is_suspected_again(task):
+    if _has_repeated_crashes(task):
         unsettled = list_unsettled(worker, state)
         return sum(not placed.task.crashes for placed in unsettled)
     if task.unexplained:
         return len(worker.suspects)
     return sum(
-        _is_suspected_again(placed.task) and not _is_settled(placed)
+        _has_repeated_crashes(placed.task) and not _is_settled(placed)
         for placed in worker.suspects.values()
     )
 
 
-def _is_suspected_again(task: progress.Task) -> bool:
-    """Return whether more than one crash speaks against a task."""
-    return task.unexplained >= ISOLATED_FROM or task.youngest_crashes > 0
+def _has_repeated_crashes(task: progress.Task) -> bool:
+    """Return whether a task may have caused more than one crash.
+
+    A crash in a series, with its run the youngest, is enough as well.
+    """
+    return (
+        task.unexplained >= PREFER_ISOLATION_FROM or task.youngest_crashes > 0
+    )
 
 
 def isolate(
@@ -414,7 +436,7 @@
     task: progress.Task,
     number: int,
 ) -> None:
-    """Note that a task's next run is isolated on a worker.
+    """Record that a task's next run is isolated on a worker.
 
     :param worker: The worker, without the run.
     :param state: The job.
--- a/src/rackvalve/scheduling/isolation.py
+++ b/src/rackvalve/scheduling/isolation.py
@@ -1,8 +1,8 @@
-"""Starts of suspects where no other job could cause a crash.
+"""Starts of crash suspects in isolation, as the planner makes them.
 
-No worker of a busy pool comes to that by itself, so some are reserved for
-tasks that wait for one: they take nothing else until what runs there has
-ended, or is known to have been at work for long.
+A busy pool has no worker free of other runs that could crash it, so some
+workers are reserved for suspects that wait: they accept no other run until
+their present runs have ended or are settled.
 """
 
 from __future__ import annotations
@@ -21,20 +21,19 @@
 from rackvalve.scheduling import starter as starters
 from rackvalve.scheduling import workers
 
-# Part of a pool's workers that may be reserved, or kept for such starts, at
-# the same time.
-RESERVED_PART = 0.5
-# A task that is likely to blame is tried before those that have waited for so
-# much longer at most, in seconds: once it is found, less counts against them.
-LIKELY_AHEAD_S = 2.0
-# What runs the same as a job that was given up is tried after those that have
-# come so much later at most, in seconds: meanwhile it harms nothing, and each
-# crash takes its worker away.
-ALIKE_BEHIND_S = 10.0
+# Part of a pool's workers that may be reserved or isolating at the same time.
+MAX_RESERVED_PART = 0.5
+# A likely cause is tried before suspects that have waited at most this much
+# longer, in seconds: once it is found, fewer crashes count against them.
+LIKELY_LEAD_S = 2.0
+# A job that runs the same as one that failed for crashes is tried after
+# suspects that came at most this much later, in seconds: it does no harm while
+# it waits, and each crash costs a worker.
+MATCHING_JOB_DELAY_S = 10.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class Group:
+class SuspectGroup:
     """Suspects of one step that would start isolated.
 
     :param state: Their job.
@@ -42,7 +41,7 @@
     :param number: Number of the step.
     :param tasks: The tasks.
     :param isolation: How they start.
-    :param since: Since when the first of them waits, in seconds.
+    :param since: When the first of them began to wait, in seconds.
     """
 
     state: progress.JobState
@@ -54,50 +53,50 @@
 
     @property
     def step(self) -> definition.Step:
-        """The step."""
+        """The step of the tasks."""
         return self.state.job.steps[self.number]
 
     @property
     def is_likely(self) -> bool:
-        """Whether more speaks against a task than that it was there."""
+        """Whether one of the tasks is a likely cause of crashes."""
         return any(
             crashes.is_likely_cause(self.state, task) for task in self.tasks
         )
 
     @property
-    def urgency(self) -> float:
-        """Less for what is tried first.
+    def sort_key(self) -> float:
+        """Sort key; the lowest group is tried first.
 
-        What has crashed its workers soonest is most likely to blame.
+        A short time to crash makes a task a more likely cause.
         """
-        lived = min(task.time_to_crash for task in self.tasks)
+        time_to_crash = min(task.time_to_crash for task in self.tasks)
         if self.state.known_time_to_crash:
-            return self.since + lived + ALIKE_BEHIND_S
-        ahead = LIKELY_AHEAD_S if self.is_likely else 0.0
-        return self.since + lived - ahead
+            return self.since + time_to_crash + MATCHING_JOB_DELAY_S
+        ahead = LIKELY_LEAD_S if self.is_likely else 0.0
+        return self.since + time_to_crash - ahead
 
 
 def list_groups(
     states: Iterable[progress.JobState], now: float
-) -> list[Group]:
-    """Return the suspects that would start isolated now, the first ones first.
+) -> list[SuspectGroup]:
+    """Return the suspects that would start isolated now, by sort key.
 
     :param states: The jobs of a pool that wait.
     :param now: Present time, in seconds.
     """
-    found: dict[tuple[object, ...], Group] = {}
+    found: dict[tuple[object, ...], SuspectGroup] = {}
     for state in states:
-        # All tasks of a job that runs the same as a culprit are suspects.
+        # All tasks of a job that runs the same as a crashing job are suspects.
         names = state.waiting if state.known_time_to_crash else state.suspects
         for name in names:
             isolation = _choose_isolation(state, name, now)
             key = (state.identity, name.repetition, name.step, isolation)
             if isolation is crashes.Isolation.NONE or key in found:
                 continue
-            tasks = _list_together(state, name, isolation, now)
+            tasks = _list_startable(state, name, isolation, now)
             if not tasks:
                 continue
-            found[key] = Group(
+            found[key] = SuspectGroup(
                 state=state,
                 repetition=name.repetition,
                 number=name.step,
@@ -105,26 +104,26 @@
                 isolation=isolation,
                 since=min(task.not_before for task in tasks),
             )
-    return sorted(found.values(), key=lambda group: group.urgency)
+    return sorted(found.values(), key=lambda group: group.sort_key)
 
 
 def _choose_isolation(
     state: progress.JobState, name: definition.TaskName, now: float
 ) -> crashes.Isolation:
-    """Return how a task starts that may start now."""
+    """Return how a task starts; ``NONE`` also if it can't start now."""
     task = state.tasks[name]
     if name not in state.waiting or task.not_before > now:
         return crashes.Isolation.NONE
     return crashes.choose_isolation(state, task, now)
 
 
-def _list_together(
+def _list_startable(
     state: progress.JobState,
     first: definition.TaskName,
     isolation: crashes.Isolation,
     now: float,
 ) -> tuple[progress.Task, ...]:
-    """Return the tasks of a step that start as one of them does."""
+    """Return the tasks of a step that start now, isolated as the first is."""
     step = state.step_of(first)
     found = tuple(
         state.tasks[name]
@@ -142,7 +141,7 @@
 class Isolator:
     """Starts suspects isolated, and reserves workers of a pool for them.
 
-    :param book: The book.
+    :param book: The book of workers and runs.
     :param starter: Places runs.
     """
 
@@ -158,40 +157,44 @@
         states: Iterable[progress.JobState],
         now: float,
     ) -> int:
-        """Plan the starts that may be made, and reserve workers for others.
+        """Plan the starts that are possible; reserve workers for the others.
 
         :param view: The workers of the pool.
         :param states: The jobs of the pool that wait.
         :param now: Present time, in seconds.
         :return: How many runs were planned.
         """
-        before, view.reserved = view.reserved, {}
+        previous, view.reserved = view.reserved, {}
         groups = list_groups(states, now)
         if not groups:
             return 0
-        kept = sum(map(crashes.is_isolating, view.members))
-        most = math.ceil(len(view.members) * RESERVED_PART)
+        isolating = sum(map(crashes.is_isolating, view.members))
+        max_reserved = math.ceil(len(view.members) * MAX_RESERVED_PART)
         planned = 0
         for group in groups:
-            left = most - kept - len(view.reserved)
-            if group.step.gang and not kept and not view.reserved:
-                # It may need more workers than one task does.
+            left = max_reserved - isolating - len(view.reserved)
+            if group.step.gang and not isolating and not view.reserved:
+                # A gang may need more workers than one task does.
                 left = len(view.members)
-            count, opened = self._start(view, group, left, now)
+            count, newly_used = self._start(view, group, left, now)
             planned += count
-            kept += opened
+            isolating += newly_used
             if count or left <= 0 or not self._may_reserve(group, now):
                 continue
-            self._reserve(view, group, before, left, now)
+            self._reserve(view, group, previous, left, now)
         return planned
 
     def _start(
-        self, view: placement.PoolView, group: Group, left: int, now: float
+        self,
+        view: placement.PoolView,
+        group: SuspectGroup,
+        left: int,
+        now: float,
     ) -> tuple[int, int]:
         """Start tasks of a group.
 
-        :return: How many, and on how many workers that were not kept for
-            their job before.
+        :return: How many tasks, and how many workers that were not yet
+            isolating for their job.
         """
         state, step = group.state, group.step
         asked = len(group.tasks)
@@ -201,25 +204,25 @@
                 return 0, 0
             return self._start_gang(view, group, now)
         hosts = self._find_hosts(state)
-        planned = opened = 0
+        planned = newly_used = 0
         for task in group.tasks[:allowed]:
             if group.isolation is not crashes.Isolation.REQUIRED and hosts:
-                # One of a job at a time, while others may wait.
+                # One task of a job at a time while the others may wait.
                 break
             worker = self._choose(view, group, task, now, hosts)
-            waits = bool(hosts) and not _is_late(task.not_before, now)
-            if worker is None and left > opened and not waits:
+            waits = bool(hosts) and not _has_waited_long(task.not_before, now)
+            if worker is None and left > newly_used and not waits:
                 worker = self._choose(view, group, task, now)
-                opened += worker is not None
+                newly_used += worker is not None
             if worker is None:
                 continue
             hosts.add(worker.identity)
             self._place(state, task, worker, state.take_run_number(), now)
             planned += 1
-        return planned, opened
+        return planned, newly_used
 
     def _start_gang(
-        self, view: placement.PoolView, group: Group, now: float
+        self, view: placement.PoolView, group: SuspectGroup, now: float
     ) -> tuple[int, int]:
         """Start all members of a gang, or none."""
         state, step = group.state, group.step
@@ -244,12 +247,12 @@
     def _choose(
         self,
         view: placement.PoolView,
-        group: Group,
+        group: SuspectGroup,
         task: progress.Task,
         now: float,
         among: Collection[str] | None = None,
     ) -> workers.WorkerState | None:
-        """Choose a worker for a task, among some or among all."""
+        """Choose a worker for a task; ``None`` for ``among`` means all."""
         state = group.state
         return view.choose(
             group.step,
@@ -277,7 +280,7 @@
         self._starter.place(state, task, worker, number, now)
 
     def _find_hosts(self, state: progress.JobState) -> set[str]:
-        """Return the workers that are kept for runs of a job."""
+        """Return the workers that isolate runs of a job."""
         found = set()
         for task in state.tasks.values():
             run = task.runs.get(task.isolated_run)
@@ -286,27 +289,31 @@
                 found.add(worker.identity)
         return found
 
-    def _may_reserve(self, group: Group, now: float) -> bool:
-        """Return whether a worker is to be emptied for a group."""
+    def _may_reserve(self, group: SuspectGroup, now: float) -> bool:
+        """Return whether a worker may be reserved for a group."""
         is_required = group.isolation is crashes.Isolation.REQUIRED
         if not is_required and not group.is_likely:
             return False
         asked = len(group.tasks) if group.step.gang else 1
         if self._starter.count_allowed(group.state, group.step, asked) < asked:
             return False
-        # What others of its job show may make it needless.
+        # The result of another suspect of the job may make it unnecessary.
         is_tried = bool(self._find_hosts(group.state))
-        return not is_tried or _is_late(group.since, now)
+        return not is_tried or _has_waited_long(group.since, now)
 
     def _reserve(
         self,
         view: placement.PoolView,
-        group: Group,
-        before: dict[str, progress.JobState],
+        group: SuspectGroup,
+        previous: dict[str, progress.JobState],
         left: int,
         now: float,
     ) -> None:
-        """Reserve the workers on which a group can start soonest."""
+        """Reserve the workers on which a group can start soonest.
+
+        :param previous: The workers reserved so far, and for which job.
+        :param left: How many workers may still be reserved.
+        """
         tickets = self._starter.find_tickets(
             group.state, group.repetition, group.number
         )
@@ -319,11 +326,11 @@
             and placement.bears(worker, group.step, tickets)
             and _count_fitting(worker, group.state, need, 1)
         ]
-        # Stays with those that are being emptied for the job already.
+        # Workers already reserved for the job come first.
         able.sort(
             key=lambda worker: (
-                before.get(worker.identity) is not group.state,
-                _rate_wait(worker, group.state),
+                previous.get(worker.identity) is not group.state,
+                _rank_wait(worker, group.state),
             )
         )
         wanted = len(group.tasks) if group.step.gang else 1
@@ -334,15 +341,15 @@
             wanted -= _count_fitting(worker, group.state, need, wanted)
 
 
-def _is_late(since: float, now: float) -> bool:
-    """Return whether a task has waited for others of its job long enough."""
+def _has_waited_long(since: float, now: float) -> bool:
+    """Return whether a task has waited long enough for others of its job."""
     return now - since > crashes.ISOLATION_WAIT_S
 
 
-def _rate_wait(
+def _rank_wait(
     worker: workers.WorkerState, state: progress.JobState
 ) -> tuple[int, int, int]:
-    """Rate how long a worker takes to be free of what could crash it."""
+    """Return a sort key: how long unsettled runs may occupy a worker."""
     unsettled = crashes.list_unsettled(worker, state)
     lasting = sum(placed.step.lasting for placed in unsettled)
     return lasting, len(unsettled), len(worker.runs)
@@ -354,7 +361,7 @@
     need: fleet.Room,
     most: int,
 ) -> int:
-    """Return how many tasks fit once what could crash a worker has ended."""
+    """Return how many tasks fit once a worker's unsettled runs have ended."""
     free = worker.free
     for placed in crashes.list_unsettled(worker, state):
         free = free.plus(placed.need)
