--- a/src/rackvalve/scheduling/crash_history.py
+++ b/src/rackvalve/scheduling/crash_history.py
@@ -1,4 +1,4 @@
-"""What an owner remembers of crashes beyond the tasks that ran there."""
+"""An owner's memory of crashes beyond the counts of single tasks."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class CrashHistory:
-    """Crashes that were noticed lately, and jobs given up for some of them."""
+    """Recent crashes by pool, and the jobs that failed for crashes."""
 
     __slots__ = ("series", "crashing_jobs")
 
--- a/src/rackvalve/scheduling/crash_series.py
+++ b/src/rackvalve/scheduling/crash_series.py
@@ -1,39 +1,40 @@
-"""When workers of a pool crash again and again.
+"""Detection of repeated worker crashes in a pool, used in attribution.
 
-One worker that crashes, or several at a moment, is most often the doing of its
-VM, or of what the VMs share; crashes that follow each other are more likely
-the doing of what is started again.
+A single crash, or several at the same time, is most often caused by the VM or
+by what the VMs share.  Crashes that follow each other are more likely caused
+by a task that is started again.
 """
 
 from __future__ import annotations
 
 import collections
 
-# Crashes so near to each other (seconds) may have one cause, such as a rack
-# that has lost its power: they are noticed one after the other.
+# Crashes within this time (seconds) of each other may have one cause, such as
+# a rack that lost its power: they are detected one after the other.
 SAME_CAUSE_S = 1.5
-# How long a crash is remembered, in seconds.
-KEPT_S = 10.0
+# How long a crash counts, in seconds.
+RETENTION_S = 10.0
 
 
 class CrashSeries:
-    """The crashes that one owner has noticed lately."""
+    """The recent crashes that one owner has detected."""
 
     __slots__ = ("_times",)
 
     def __init__(self) -> None:
-        # By pool, oldest first.
+        # Times of crashes by pool, oldest first.
         self._times: dict[str, collections.deque[float]] = {}
 
     def note(self, pool: str, now: float) -> bool:
-        """Note that a worker has crashed.
+        """Record that a worker has crashed.
 
-        :param pool: Its pool.
+        :param pool: The worker's pool.
         :param now: Present time, in seconds.
-        :return: Whether others have crashed before, at another moment.
+        :return: Whether a worker of the pool crashed earlier, for what is
+            likely another cause.
         """
         times = self._times.setdefault(pool, collections.deque())
         times.append(now)
-        while times[0] < now - KEPT_S:
+        while times[0] < now - RETENTION_S:
             times.popleft()
         return times[0] < now - SAME_CAUSE_S
--- a/src/rackvalve/scheduling/releases.py
+++ b/src/rackvalve/scheduling/releases.py
@@ -1,4 +1,4 @@
-"""Runs that are over by proof, without their worker's word."""
+"""Releases: runs that ended by proof, without a report of their worker."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
 
 class Fate(enum.Enum):
-    """What a worker's life came to, as far as its owner can tell."""
+    """How an incarnation of a worker ended, as far as its owner can tell."""
 
-    # It ended though nothing had announced it.
+    # The worker ended unannounced.
     CRASHED = "crashed"
-    # It said that it would end, or served on after its entry had gone.
+    # The worker announced its end, or still answered without its entry.
     LEFT = "left"
-    # Its VM was ordered to move, or to be maintained.
+    # The worker's VM was ordered to move, or to be maintained.
     ORDERED_AWAY = "ordered away"
-    # It does not answer; whether it lives is not known.
+    # The worker does not answer, and may still be running.
     OUT_OF_REACH = "out of reach"
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class ReleasedRun:
-    """A run that one proof has ended.
+    """One run of a release.
 
     :param task: Full name of the task.
     :param number: Number of the run.
     :param age: How long ago it was ordered, in seconds.
     :param crashes: How many crashes now count against the task.
-    :param isolated_crashes: How many of them no other job can have caused.
+    :param isolated_crashes: How many of them only its job can have caused.
     """
 
     task: str
@@ -46,11 +46,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Release:
-    """Runs of one worker that one proof has ended.
+    """Runs of one worker that ended by one proof.
 
     :param worker: Identity of the worker.
-    :param vm: The VM that it lived on; empty if it is not known.
-    :param proof: What proves it.
+    :param vm: The VM that the worker ran on; empty if not known.
+    :param proof: What proves that the runs ended.
     :param fate: What became of the worker.
     :param runs: The runs.
     """
@@ -65,12 +65,12 @@
 def make_release(
     worker: workers.WorkerState, proof: str, now: float
 ) -> Release:
-    """Return what a proof about a worker releases.
+    """Return the release of a worker's runs.
 
-    Runs that no worker has heard of are left out: they never were.
+    Planned runs are left out: no worker was told of them.
 
     :param worker: The worker, with its runs.
-    :param proof: What proves that they are over.
+    :param proof: What proves that the runs ended.
     :param now: Present time, in seconds.
     """
     return Release(
@@ -93,18 +93,18 @@
 
 
 def find_proof(worker: workers.WorkerState) -> str:
-    """Return what proves that nothing runs on a worker that is over.
+    """Return what proves that a worker without a lease runs nothing.
 
-    :param worker: The worker.
+    :param worker: The worker, whose lease is over.
     """
     return LISTED_OFF if worker.lease_over == float("-inf") else LEASE_OVER
 
 
 def determine_fate(worker: workers.WorkerState, proof: str) -> Fate:
-    """Return what became of a worker whose runs a proof has ended.
+    """Return what became of a worker whose runs ended by proof.
 
     :param worker: The worker.
-    :param proof: The proof.
+    :param proof: What proves that the runs ended.
     """
     if worker.ordered_away:
         return Fate.ORDERED_AWAY
