--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -122,7 +122,7 @@
 @behave.when("the worker of one VM is silent and one list leaves that VM out")
 def silence_left_out(context):
     silence_one(context)
-    pass_time(context, failure_detector.NOTICE_S + TICK_S)
+    pass_time(context, failure_detector.OVERDUE_S + TICK_S)
     left_out = context.listed.pop(context.lost)
     pass_time(context, TICK_S)
     context.silence.check(context.bench.now)
--- a/src/rackvalve/scheduling/failure_detector.py
+++ b/src/rackvalve/scheduling/failure_detector.py
@@ -1,11 +1,12 @@
-"""Which workers and data halls are taken to be out of reach, or lost.
+"""Failure detector: workers and data halls that are out of reach, or lost.
 
-A silent worker keeps its entry for seconds, or for good behind a cut.  A pool
-that still counts it waits all that time for room that is not there.  And what
-ran on a VM that is off need not wait 4.4 s for the end of its lease.
+A silent worker keeps its entry for seconds, or for good behind a network
+partition.  A pool that still counts the worker waits all that time for room
+that does not exist.  And runs on a VM that is off need not wait 4.4 s for the
+end of the worker's lease.
 
-On days on which a rack of four VMs goes dark, among other faults, both
-together earn 0.010 more of what callers would have given (40 pairs of plays,
+On simulated days with faults, among them the failure of a rack of four VMs,
+both together earn 0.010 more of the worth of all jobs (40 pairs of days,
 standard error 0.003).
 """
 
@@ -18,22 +19,22 @@
 from rackvalve.scheduling import upkeep as upkeeps
 from rackvalve.scheduling import workers
 
-# A worker that has not answered for this long is worth a look at the
-# platform's list, in seconds: holds are answered after half a second.
-NOTICE_S = 0.6
-# A worker that has not answered for this long is out of reach, in seconds: a
-# failed hold is made again within half a second more.
+# A worker that has not answered for this long (seconds) is looked up in the
+# platform's list of VMs: holds are answered after half a second.
+OVERDUE_S = 0.6
+# A worker that has not answered for this long (seconds) is out of reach: a
+# failed hold is retried within another half second.
 SILENCE_S = 1.2
-# Only while more than this part of the workers answer are the others taken to
-# be silent: else it is this process that was paused or is cut off.
-ANSWERING_PART = 0.5
-# A data hall is cut off if at least so many of its workers are silent, and
+# Workers are taken to be silent only while more than this part of all answer:
+# otherwise this process itself was paused or is cut off.
+MIN_ANSWERING_PART = 0.5
+# A data hall is cut off if at least this many of its workers are silent and
 # none answers.
-HALL_LEAST = 2
+MIN_SILENT_IN_HALL = 2
 
 
 class FailureDetector:
-    """Looks at the answers of all workers and at the platform's list.
+    """Checks the last answers of all workers and the platform's list of VMs.
 
     :param book: The book with the workers.
     :param upkeep: Has the platform's list of VMs.
@@ -43,7 +44,7 @@
         "_book",
         "_upkeep",
         "_listings",
-        "_since",
+        "_first_seen",
         "_lost",
         "silent_workers",
         "silent_halls",
@@ -54,79 +55,81 @@
         self._book = book
         self._upkeep = upkeep
         self._listings = listings.Listings()
-        # When each worker was first seen here, in seconds.
-        self._since: dict[str, float] = {}
-        # Workers that were told to be lost.
+        # When each worker was first checked, in seconds.
+        self._first_seen: dict[str, float] = {}
+        # Workers that were returned as lost before.
         self._lost: set[str] = set()
-        # Workers that are out of reach.
+        # Identities of the workers that are out of reach.
         self.silent_workers: frozenset[str] = frozenset()
-        # Data halls of which no worker is reached.
+        # Data halls that are cut off.
         self.silent_halls: frozenset[str] = frozenset()
-        # Whether work waits for a worker that should have answered.
+        # Whether a worker with runs has not answered for OVERDUE_S.
         self.has_overdue = False
 
     def check(self, now: float) -> list[str]:
-        """Find out who is silent, and release what ran on lost VMs.
+        """Find silent workers, and expire the leases of lost ones.
 
         :param now: Present time, in seconds.
-        :return: Workers that were newly found to be lost.
+        :return: Identities of workers that were newly found to be lost.
         """
         self._listings.take(
             self._upkeep.vms,
             self._upkeep.read,
             {worker.life.worker for worker in self._book.workers.values()},
         )
-        # Also those that only records name: their entries are gone.
+        # Includes workers that only records name, without an entry.
         known = {
             worker.identity: worker
             for worker in self._book.workers.values()
             if worker.location is not None
         }
-        self._since = {name: self._since.get(name, now) for name in known}
+        self._first_seen = {
+            name: self._first_seen.get(name, now) for name in known
+        }
         self._lost &= known.keys()
-        self.silent_workers = frozenset(self._find_silent(known, now))
+        self.silent_workers = frozenset(self._find_silent_workers(known, now))
         self.silent_halls = frozenset(
-            self._find_cut_halls(self.silent_workers)
+            self._find_silent_halls(self.silent_workers)
         )
-        quiet = [
+        overdue = [
             worker
             for worker in known.values()
-            if worker.runs and now - self._last_heard(worker) > NOTICE_S
+            if worker.runs and now - self._get_last_answer(worker) > OVERDUE_S
         ]
-        self.has_overdue = bool(quiet)
-        return [worker.identity for worker in quiet if self._release(worker)]
+        self.has_overdue = bool(overdue)
+        return [worker.identity for worker in overdue if self._release(worker)]
 
-    def _find_silent(
+    def _find_silent_workers(
         self, known: dict[str, workers.WorkerState], now: float
     ) -> set[str]:
         """Return the workers with an entry that are out of reach."""
-        entered = [
+        with_entry = [
             worker for worker in known.values() if worker.entry is not None
         ]
         silent = {
             worker.identity
-            for worker in entered
-            if now - self._last_heard(worker) > SILENCE_S
+            for worker in with_entry
+            if now - self._get_last_answer(worker) > SILENCE_S
         }
-        if len(silent) >= len(entered) * (1 - ANSWERING_PART):
+        if len(silent) >= len(with_entry) * (1 - MIN_ANSWERING_PART):
             return set()
         return silent
 
-    def _last_heard(self, worker: workers.WorkerState) -> float:
-        """Return when a worker has answered last, or was first seen."""
-        return max(worker.heard, self._since[worker.identity])
+    def _get_last_answer(self, worker: workers.WorkerState) -> float:
+        """Return when a worker's last answer came, or it was first checked."""
+        return max(worker.heard, self._first_seen[worker.identity])
 
-    def _last_sign(self, worker: workers.WorkerState) -> float:
-        """Return the last time that an answer, or its entry, tells of."""
-        return max(worker.answered, self._since[worker.identity])
+    def _get_last_alive(self, worker: workers.WorkerState) -> float:
+        """Return when a worker was last alive by its answers or its entry."""
+        return max(worker.answered, self._first_seen[worker.identity])
 
     def _release(self, worker: workers.WorkerState) -> bool:
-        """Let the lease of a worker be over if the lists prove its life over.
+        """Expire a worker's lease if the lists prove that it has ended.
 
-        :return: Whether that is new.
+        :return: Whether the worker was not known to be lost before.
         """
         assert worker.location is not None
-        alive = self._last_sign(worker)
+        alive = self._get_last_alive(worker)
         vm = worker.location.vm
         if not self._listings.prove_over(
             worker.life.worker, vm, began=worker.began, alive=alive
@@ -138,7 +141,7 @@
         self._lost.add(worker.identity)
         return True
 
-    def _find_cut_halls(self, silent: Collection[str]) -> set[str]:
+    def _find_silent_halls(self, silent: Collection[str]) -> set[str]:
         counts: dict[str, int] = {}
         answering: set[str] = set()
         for worker in self._book.workers.values():
@@ -152,5 +155,5 @@
         return {
             hall
             for hall, count in counts.items()
-            if count >= HALL_LEAST and hall not in answering
+            if count >= MIN_SILENT_IN_HALL and hall not in answering
         }
