--- a/src/rackvalve/jobs/definition.py
+++ b/src/rackvalve/jobs/definition.py
@@ -1,4 +1,4 @@
-"""What a caller hands in: a job of steps, a step of tasks."""
+"""Definition of a job as its caller submits it: steps of tasks."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from rackvalve import errors
 
-# Bounds of what is taken, against jobs that no site could ever hold.
-MOST_STEPS = 64
-MOST_TASKS = 4096
-MOST_REPETITIONS = 10000
-# Most characters of a task's name: three numbers and two dots.
-NAME_LONGEST = 32
+# Bounds of what is accepted; no site could ever run a larger job.
+MAX_STEPS = 64
+MAX_TASKS = 4096
+MAX_REPETITIONS = 10000
+# Most characters of a task's name, which is three numbers and two dots.
+MAX_NAME_LENGTH = 32
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
@@ -19,25 +19,25 @@
     """Tasks of one kind that may run once earlier steps are done.
 
     :param tasks: How many tasks the step has.
-    :param cpu: Room that each needs, in thousandths of a core.
-    :param memory: Room that each needs, in MB.
-    :param gpu: Accelerators that each needs.
-    :param estimate: The caller's guess of a task's time, in seconds.
+    :param cpu: CPU that each task requests, in thousandths of a core.
+    :param memory: Memory that each task requests, in MB.
+    :param gpu: Accelerators that each task requests.
+    :param estimate: The caller's estimate of a task's duration, in seconds.
     :param after: Numbers of the steps that must be done beforehand.
     :param checkpoints: Whether its tasks save their progress.
-    :param gang: Whether its tasks work only all together.
-    :param same_rack: Whether the gang is slower over several racks.
+    :param gang: Whether its tasks can only run all at the same time.
+    :param same_rack: Whether the gang is slower across several racks.
     :param labels: Labels that a worker must have.
-    :param data_rack: Rack on which its data lies, empty for none.
-    :param most_per_worker: Most of its tasks on one worker; 0 for any.
-    :param copies_allowed: Whether a task may run twice at the same time.
+    :param data_rack: Rack that holds the step's data; empty for none.
+    :param most_per_worker: Most of its tasks on one worker; 0 for no limit.
+    :param copies_allowed: Whether a task may have two runs at the same time.
     :param lasting: Whether its tasks run until the job is cancelled.
     :param image: What the tasks run; tasks of one image behave alike.
-    :param tail_limit: For tasks that serve: bound of the tail of their
-        answers' times, in seconds; 0 for none.
-    :param uses_leftover: Whether its tasks run on what others leave unused,
-        so that their cpu needs no room.
-    :param most_away: Most of its tasks that may be away at once.
+    :param tail_limit: For tasks that serve requests: bound of the tail
+        latency, in seconds; 0 for none.
+    :param uses_leftover: Whether its tasks run on CPU that others leave
+        unused, so that none is reserved for them.
+    :param most_away: Most of its tasks that may be unavailable at once.
     """
 
     tasks: int = 1
@@ -62,14 +62,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Job:
-    """A job as its caller handed it in.
+    """A job as its caller submitted it.
 
     :param spec: The text that each of its tasks is started with.
     :param steps: Its steps.
     :param first_run: When its first repetition is due, seconds since 1970.
     :param interval: Time between two repetitions, in seconds.
     :param repetitions: How often the steps run on a schedule; 0 for a job
-        that runs once and at once.
+        that runs once, immediately.
     """
 
     spec: str
@@ -81,7 +81,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class TaskName:
-    """Which task of a job.
+    """Name of a task within its job.
 
     :param repetition: Number of the repetition, from 0.
     :param step: Number of the step, from 0.
@@ -97,14 +97,14 @@
 
 
 def parse_task_name(text: str) -> TaskName | None:
-    """Read a task's name within its job.
+    """Parse a task's name within its job.
 
-    :param text: Such as ``0.1.17``.
-    :return: The name, or ``None`` for a text that is none.
+    :param text: The name, such as ``0.1.17``.
+    :return: The name, or ``None`` if the text is not a task's name.
     """
-    # Names also come from workers; the interpreter refuses to read numbers of
-    # thousands of digits, and no task has a number as long as this.
-    if not text.isascii() or len(text) > NAME_LONGEST:
+    # Names also come from workers; the interpreter raises an error for numbers
+    # of thousands of digits, and no task's name is as long as this.
+    if not text.isascii() or len(text) > MAX_NAME_LENGTH:
         return None
     parts = text.split(".")
     if len(parts) != 3:
@@ -117,21 +117,21 @@
 
 
 def validate(job: Job) -> None:
-    """Check that a job can be carried out in principle.
+    """Check the fields of a job.
 
     :param job: The job.
-    :raises DocumentInvalidError: Says which field is wrong.
+    :raises DocumentInvalidError: A field is wrong; the message names it.
     """
     if not job.steps:
         raise errors.DocumentInvalidError("steps is empty; give one step")
-    if len(job.steps) > MOST_STEPS:
-        raise errors.DocumentInvalidError(f"more than {MOST_STEPS} steps")
-    if not 0 <= job.repetitions <= MOST_REPETITIONS:
+    if len(job.steps) > MAX_STEPS:
+        raise errors.DocumentInvalidError(f"more than {MAX_STEPS} steps")
+    if not 0 <= job.repetitions <= MAX_REPETITIONS:
         raise errors.DocumentInvalidError(
-            f"repetitions is not within 0 and {MOST_REPETITIONS}"
+            f"repetitions is not within 0 and {MAX_REPETITIONS}"
         )
-    if sum(step.tasks for step in job.steps) > MOST_TASKS:
-        raise errors.DocumentInvalidError(f"more than {MOST_TASKS} tasks")
+    if sum(step.tasks for step in job.steps) > MAX_TASKS:
+        raise errors.DocumentInvalidError(f"more than {MAX_TASKS} tasks")
     for number, step in enumerate(job.steps):
         _check_step(number, step)
 
@@ -143,7 +143,7 @@
         raise errors.DocumentInvalidError(
             f"step {number} asks for less than 0"
         )
-    # A step may wait for earlier ones only, hence there are no cycles.
+    # A step may depend on earlier steps only, so there are no cycles.
     if any(not 0 <= earlier < number for earlier in step.after):
         raise errors.DocumentInvalidError(
             f"step {number} waits for a step that is not before it"
--- a/src/rackvalve/jobs/incarnations.py
+++ b/src/rackvalve/jobs/incarnations.py
@@ -1,29 +1,28 @@
-"""Who a worker is now: its name, and the life that it lives.
+"""Incarnations of workers: a worker's name with the time of its start.
 
-A worker that has crashed may start again under its name.  It then knows
-nothing of before, and all that is numbered, timed or promised begins anew.  So
-whatever is known of a worker is known of one life, and everything that is kept
-by a worker's identity is kept by the identity of that life: a later one cannot
-inherit a number, a clock, a ticket or a suspicion.
+A worker that has crashed may start again under its name, without any state.
+Its numbers, clock and tickets then begin anew.  So the owner keeps all that
+it knows of a worker by the identity of one incarnation, and a later one
+cannot inherit a number, a clock, a ticket or a suspicion.
 """
 
 from __future__ import annotations
 
 import dataclasses
 
-# Between a worker's name and its birth.
+# Stands between a worker's name and the time of its start.
 SEPARATOR = "@"
-# More digits are no birth, in milliseconds since 1970.
-_DIGITS_MOST = 15
+# A number with more digits is no start time in milliseconds since 1970.
+_MAX_DIGITS = 15
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Incarnation:
-    """One life of a worker.
+    """One incarnation of a worker.
 
-    :param worker: The worker's name, which its next life may have, too.
-    :param born: When it began, in milliseconds since 1970; ``None`` if that
-        is not known.
+    :param worker: The worker's name, which its next incarnation may share.
+    :param born: When it started, in milliseconds since 1970; ``None`` if not
+        known.
     """
 
     worker: str
@@ -31,7 +30,7 @@
 
     @property
     def identity(self) -> str:
-        """A text that no other life has, as it stands in records and logs."""
+        """A text that is unique to the incarnation, for records and logs."""
         if self.born is not None:
             return f"{self.worker}{SEPARATOR}{self.born}"
         if SEPARATOR in self.worker:
@@ -40,12 +39,12 @@
 
 
 def parse_incarnation(identity: str) -> Incarnation:
-    """Take an identity apart.
+    """Parse the identity of an incarnation.
 
-    :param identity: The identity of a life.
+    :param identity: The identity.
     """
     worker, separator, digits = identity.rpartition(SEPARATOR)
     is_birth = digits.isascii() and digits.isdigit()
-    if not separator or not is_birth or len(digits) > _DIGITS_MOST:
+    if not separator or not is_birth or len(digits) > _MAX_DIGITS:
         return Incarnation(worker=identity, born=None)
     return Incarnation(worker=worker, born=int(digits) or None)
--- a/src/rackvalve/jobs/progress.py
+++ b/src/rackvalve/jobs/progress.py
@@ -1,9 +1,9 @@
-"""How far a job is: which tasks are done, which run where, its end.
+"""The state of jobs, their tasks and runs, as the owner keeps it.
 
-A task's next run is started only when all its earlier runs are known to be
-over; the number of a job's runs only rises.  Both are kept in the record of
-the job before a worker hears of a run, so that any later owner knows what
-may be running.
+A task's next run starts only when all its earlier runs are known to be over,
+and run numbers of a job only increase.  Both are stored in the job's record
+before a worker is told of a run, so that any later owner knows what may be
+running.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 
 class Phase(enum.Enum):
-    """Where a job is in its life."""
+    """Phase of a job."""
 
-    # No worker has said that it has begun a task of it.
+    # No worker has reported a run of the job yet.
     QUEUED = "queued"
     RUNNING = "running"
     COMPLETED = "completed"
@@ -29,13 +29,13 @@
 
 
 class Stage(enum.Enum):
-    """Where a run is in its life, as its owner knows it."""
+    """Stage of a run, as its owner knows it."""
 
-    # Decided, not yet in the store.
+    # The run is not yet in the store.
     PLANNED = "planned"
-    # In the store; the order may be on its way.
+    # The run is in the store; the order may be in flight.
     ORDERED = "ordered"
-    # The worker has confirmed it.
+    # The worker has confirmed the start.
     CONFIRMED = "confirmed"
     # A stop was ordered.
     STOPPING = "stopping"
@@ -43,11 +43,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Location:
-    """Where one life of a worker can be asked, also once its entry is gone.
+    """Address of an incarnation of a worker, kept also without its entry.
 
-    :param host: IP number.
+    :param host: IP address.
     :param port: Port.
-    :param vm: The VM that it lives on.
+    :param vm: The VM that the worker runs on.
     """
 
     host: str
@@ -60,10 +60,10 @@
 
     :param number: Number of the run, above all earlier ones of its job.
     :param worker: Identity of the worker.
-    :param stage: Where it is in its life.
+    :param stage: Stage of the run.
     :param now: Present time, in seconds.
-    :param location: Where the worker can be asked; ``None`` if the record
-        that names the run does not tell.
+    :param location: Address of the worker; ``None`` if the record that names
+        the run has none.
     """
 
     __slots__ = (
@@ -102,26 +102,27 @@
         self.location = location
         self.stage = stage
         self.since = now
-        # Taken over from the owner before; not yet seen on its worker.
+        # Whether the run is from a previous owner's record and not yet
+        # reported by its worker.
         self.inherited = False
         self.percent = 0.0
         self.percent_since = now
-        # Progress and time from which its speed is measured, and the speed,
-        # in percent a second; ``None`` until it was measured.
+        # Progress and time from which the speed is measured, and the speed, in
+        # percent a second; ``None`` until measured.
         self.sampled_percent = 0.0
         self.sampled: float | None = None
         self.rate: float | None = None
         self.confirmed_at: float | None = None
-        # When its worker was asked for the last report that lists it.
+        # When the worker was asked for the last report that lists the run.
         self.listed_at: float | None = None
-        # Whether its worker has said that it is, or was, there.
+        # Whether the worker has reported the run as running or ended.
         self.begun = False
         self.stop_wanted = False
         self.load = 0.0
-        # The share of its speed that it was told to work at, in percent;
-        # ``None`` if an earlier owner, or a lost order, may have told it one.
+        # The ordered share of full speed, in percent; ``None`` if an earlier
+        # owner, or an order that was lost, may have set another.
         self.pace: int | None = 100
-        # When its pace was changed last.
+        # When the pace was last changed.
         self.paced_at = 0.0
         self.ticket = ""
 
@@ -159,42 +160,42 @@
         self.failures = 0
         self.checkpoint = ""
         self.runs: dict[int, Run] = {}
-        # Workers on which it failed.
+        # Workers on which the task failed.
         self.avoid: set[str] = set()
         self.not_before = 0.0
-        # Workers that crashed under it, until it is cleared, and the longest
-        # that a run of it may have lived before one of them, in seconds.
+        # Worker crashes that count against the task until it is cleared, and
+        # the longest that a run may have lasted before one, in seconds.
         self.crashes = 0
         self.time_to_crash = 0.0
-        # How many of the crashes came when its run was the last one that had
-        # started on the worker.
+        # Crashes at which the task's run was the last to have started on the
+        # worker.
         self.youngest_crashes = 0
-        # How many of the crashes another job was found to have caused, and
-        # the lives of workers that ended in the others.
+        # Crashes that another job was found to have caused, and the
+        # incarnations of workers that ended in the others.
         self.explained = 0
         self.crashed_incarnations: set[str] = set()
-        # Number of its run that had, or has, a worker for itself; 0 for none.
+        # Number of the last run that was isolated on its worker; 0 for none.
         self.isolated_run = 0
-        # How many of the crashes were in isolation, and how many of these
-        # came soon after the start.
+        # Crashes in isolation, and those of them that came soon after the
+        # start.
         self.isolated_crashes = 0
         self.prompt_crashes = 0
-        # Runs, by full name of the task and number, that had been at work for
-        # long beside that run when it began.
+        # Runs, by full name of the task and number, that were settled on the
+        # isolated run's worker when it started.
         self.settled_beside: set[tuple[str, int]] = set()
-        # VMs on which workers crashed under it.
+        # VMs whose workers crashed while they ran the task.
         self.crashed_on: set[str] = set()
         # Numbers of runs that were taken to be over while their workers were
-        # out of reach: these may still tell how they ended.
+        # out of reach: the workers may still report how the runs ended.
         self.unreported_runs: set[int] = set()
 
     @property
     def unexplained(self) -> int:
-        """How many crashes may still be this task's doing."""
+        """How many crashes this task may have caused."""
         return self.crashes - self.explained
 
     def forget_crashes(self) -> None:
-        """Count no crash against the task any more."""
+        """Reset all that was recorded of crashes."""
         self.crashes = 0
         self.youngest_crashes = 0
         self.explained = 0
@@ -208,13 +209,13 @@
 
 
 class JobState:
-    """A job and how far it is.
+    """A job and its state.
 
     :param identity: The caller's identifier.
     :param queue: Name of its queue.
-    :param job: What was handed in.
+    :param job: The job as submitted.
     :param accepted: When it was accepted, seconds since 1970.
-    :param workspace: Name of the workspace that handed it in; empty for none.
+    :param workspace: Name of the submitting workspace; empty for none.
     """
 
     __slots__ = (
@@ -251,30 +252,31 @@
         self.job = job
         self.accepted = accepted
         self.workspace = workspace
-        # Whether it was sent within the rate that its workspace has paid.
+        # Whether it was submitted within the rate that its workspace paid for.
         self.guaranteed = True
-        # When this owner learned of it, on its steady clock.
+        # When this owner learned of the job, on its steady clock, in seconds.
         self.arrived = 0.0
         self.phase = Phase.QUEUED
         self.next_run = 1
         self.tasks: dict[definition.TaskName, Task] = {}
-        # Tasks whose turn has come and that have no run, in order.
+        # Tasks of open steps that wait for a run, in order.
         self.waiting: dict[definition.TaskName, None] = {}
         # When it ended, seconds since 1970; 0 while it is open.
         self.finished = 0.0
         self.cancel_wanted = False
-        # Steps whose turn has come, as (repetition, step).
+        # Steps that were opened, as (repetition, step): their repetition is
+        # due and the steps before them are done.
         self.opened: set[tuple[int, int]] = set()
-        # Tasks under which workers crashed and that are not cleared.
+        # Tasks against which crashes count.
         self.suspects: set[definition.TaskName] = set()
-        # How long, in seconds, the runs of a job that runs the same lived that
-        # was given up for crashing its workers; 0 while none is known.
+        # Longest time to crash of failed jobs that run the same, in seconds; 0
+        # if no such job is known.
         self.known_time_to_crash = 0.0
         self.reason = ""
 
     @property
     def is_final(self) -> bool:
-        """Whether callers have seen, or may see, its last state."""
+        """Whether the phase is final; callers may have seen it."""
         return self.phase in FINAL
 
     def task(self, name: definition.TaskName) -> Task | None:
@@ -295,7 +297,7 @@
         return self.job.steps[name.step]
 
     def step_name(self, repetition: int, number: int) -> str:
-        """Return the name of a step, unlike those of all other steps.
+        """Return the name of a step, unique among all jobs.
 
         :param repetition: Number of the repetition.
         :param number: Number of the step.
@@ -303,13 +305,13 @@
         return f"{self.identity}.{repetition}.{number}"
 
     def take_run_number(self) -> int:
-        """Return a number above those of all earlier runs of the job."""
+        """Allocate a run number, above those of all earlier runs."""
         number = self.next_run
         self.next_run += 1
         return number
 
     def list_planned(self) -> list[tuple[definition.TaskName, int]]:
-        """Return the runs that no record names yet, as task and number."""
+        """Return the planned runs, as task and number."""
         return [
             (task.name, run.number)
             for task in self.tasks.values()
@@ -318,7 +320,7 @@
         ]
 
     def open_steps(self, wall: float) -> None:
-        """Let the tasks of steps wait whose turn has come.
+        """Queue the tasks of steps that have become due.
 
         :param wall: Present time, seconds since 1970.
         """
@@ -331,7 +333,7 @@
                 self._open_step(repetition, number)
 
     def requeue(self, task: Task, not_before: float) -> None:
-        """Let a task wait for another run.
+        """Queue a task for another run.
 
         :param task: The task, without a run.
         :param not_before: Earliest time of its next run.
@@ -358,7 +360,7 @@
     def finish(self, phase: Phase, wall: float, reason: str) -> None:
         """End the job.
 
-        :param phase: Its last phase.
+        :param phase: The final phase.
         :param wall: Present time, seconds since 1970.
         :param reason: Why, for logs and operators.
         """
--- a/src/rackvalve/jobs/records.py
+++ b/src/rackvalve/jobs/records.py
@@ -1,9 +1,9 @@
 """A job's records in the store: keys and encodings.
 
-Three keys a job: what was handed in, written once by the entry that took it;
-that it is to be cancelled, written once; how far it is, written by the owner
-alone.  The last lies under a prefix of its own, so that the owner's watch on
-the other two does not tell it what it has just written itself.
+A job has three keys: its definition, written once by the entry that accepted
+it; its cancellation, written once; and its progress, written by the owner
+alone.  The progress lies under a prefix of its own, so that the owner's watch
+on the other two does not return the owner's own writes.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Key:
-    """A record's key, taken apart.
+    """The parts of a record's key.
 
     :param queue: Name of the job's queue.
     :param identity: The job's identifier.
@@ -51,11 +51,11 @@
 class _Definition(msgspec.Struct, omit_defaults=True):
     accepted: float
     job: definition.Job
-    # Name of the workspace that handed it in; empty for none.
+    # Name of the submitting workspace; empty for none.
     workspace: str = ""
 
 
-class _DefinitionOwner(msgspec.Struct):
+class _DefinitionWorkspace(msgspec.Struct):
     workspace: str = ""
 
 
@@ -66,33 +66,33 @@
     checkpoint: str = ""
     # Number and worker of each run that may be running.
     runs: list[tuple[int, str]] = []
-    # Workers that crashed under it, those under an isolated run among them,
-    # the longest life before one in seconds, and the number of that run.
+    # Crashes that count against the task, those of them in isolation, the
+    # longest time to crash in seconds, and the number of the isolated run.
     crashes: int = 0
     isolated_crashes: int = 0
     lived: float = 0.0
     isolated: int = 0
-    # Numbers of runs whose workers may still tell how they ended.
+    # Numbers of runs whose workers may still report how they ended.
     untold: list[int] = []
-    # Of each of the runs, the birth of its worker; 0 if it is not known.
-    # Releases that know of none go by the names.
+    # For each of the runs the start time of its worker's incarnation; 0 if not
+    # known.  Earlier releases ignore it and use the names alone.
     births: list[int] = []
 
 
 class _Suspect(msgspec.Struct, omit_defaults=True):
-    """What is known of the crashes that count against a task."""
+    """Details of the crashes that count against a task."""
 
-    # Crashes when its run was the last that had started on the worker, those
-    # under the isolated run soon after its start, and those that another job
-    # was found to have caused.
+    # Crashes at which the task's run was the last to have started on the
+    # worker, those of the isolated run soon after its start, and those that
+    # another job was found to have caused.
     youngest_crashes: int = 0
     prompt_crashes: int = 0
     explained: int = 0
-    # The workers' lives that ended in those that are not explained, and the
-    # VMs on which workers crashed.
+    # Incarnations of workers that ended in crashes not explained, and the VMs
+    # on which workers crashed.
     crashed_lives: list[str] = []
     crashed_on: list[str] = []
-    # Runs that had been at work for long beside the isolated run.
+    # Runs that were settled on the isolated run's worker when it started.
     settled_beside: list[tuple[str, int]] = []
 
 
@@ -108,11 +108,11 @@
     finished: float = 0.0
     reason: str = ""
     tasks: list[_Task] = []
-    # Where the workers that the runs name can be asked.  Without it the next
-    # owner waits 8.4 s for a worker whose entry is gone, and the one after it
-    # as long again; asked, another life at that address is proof enough.
+    # Addresses of the workers that the runs name.  Without them each new owner
+    # waits 8.4 s for a worker whose entry is gone; with them it asks, and an
+    # answer of another incarnation at that address is proof enough.
     locations: dict[str, _Location] = {}
-    # As in the definition, so that one reading answers a caller.
+    # As in the definition, so that one read is enough to answer a caller.
     workspace: str = ""
     # By name of the task.
     suspects: dict[str, _Suspect] = {}
@@ -125,10 +125,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Summary:
-    """What callers may be told from a progress record alone.
+    """The part of a progress record that callers may see.
 
-    :param phase: Where the job is in its life.
-    :param workspace: Whose it is; empty for a job of no workspace.
+    :param phase: Phase of the job.
+    :param workspace: Workspace of the job; empty for none.
     """
 
     phase: progress.Phase
@@ -147,7 +147,7 @@
 
 
 def read_key(key: str) -> Key | None:
-    """Take a record's key apart.
+    """Parse a record's key.
 
     :param key: The key.
     :return: Its parts, or ``None`` for a key of another kind.
@@ -165,11 +165,11 @@
 def write_definition(
     job: definition.Job, accepted: float, workspace: str = ""
 ) -> bytes:
-    """Encode what was handed in.
+    """Encode a job's definition.
 
     :param job: The job.
     :param accepted: When it was accepted, seconds since 1970.
-    :param workspace: Name of the workspace that handed it in.
+    :param workspace: Name of the submitting workspace.
     """
     return msgspec.json.encode(
         _Definition(accepted=accepted, job=job, workspace=workspace)
@@ -179,13 +179,13 @@
 def read_definition(
     queue: str, identity: str, payload: bytes
 ) -> progress.JobState:
-    """Decode what was handed in, into a job that has not begun.
+    """Decode a job's definition, into a job that has not begun.
 
     :param queue: Name of the job's queue.
     :param identity: The job's identifier.
     :param payload: The record.
-    :raises DocumentInvalidError: It does not decode, or is beyond what any
-        caller could have handed in: its tasks would not fit into memory.
+    :raises DocumentInvalidError: The record does not decode, or is beyond the
+        bounds of what is accepted: its tasks could exhaust the memory.
     """
     record = _decode(payload, _Definition)
     definition.validate(record.job)
@@ -199,7 +199,7 @@
 
 
 def write_progress(state: progress.JobState) -> bytes:
-    """Encode how far a job is.
+    """Encode a job's progress.
 
     :param state: The job.
     """
@@ -248,12 +248,12 @@
 def read_progress(
     state: progress.JobState, payload: bytes, now: float
 ) -> None:
-    """Bring a job that was just decoded to where its record says it is.
+    """Decode a job's progress into a job that was just decoded.
 
-    :param state: The job.
+    :param state: The job, without progress.
     :param payload: The progress record.
     :param now: Present time, in seconds.
-    :raises DocumentInvalidError: It does not decode.
+    :raises DocumentInvalidError: The record does not decode.
     """
     record = _decode(payload, _Progress)
     state.phase = record.phase
@@ -275,15 +275,17 @@
         task.unreported_runs.update(row.untold)
         if task.crashes:
             state.suspects.add(task.name)
-            # How long it has waited to be isolated is not known.
+            # How long the task has waited for isolation is not stored.
             task.not_before = now
             _read_suspect(task, record.suspects.get(row.name))
         births = itertools.chain(row.births, itertools.repeat(0))
         for (number, worker), born in zip(row.runs, births, strict=False):
-            life = incarnations.Incarnation(worker=worker, born=born or None)
+            incarnation = incarnations.Incarnation(
+                worker=worker, born=born or None
+            )
             run = progress.Run(
                 number,
-                life.identity,
+                incarnation.identity,
                 progress.Stage.ORDERED,
                 now,
                 location=_read_location(record.locations.get(worker)),
@@ -294,7 +296,7 @@
 
 
 def _write_suspects(state: progress.JobState) -> dict[str, _Suspect]:
-    """Return what is known of the crashes that count against tasks."""
+    """Return the details of crashes that count against tasks."""
     return {
         str(task.name): _Suspect(
             youngest_crashes=task.youngest_crashes,
@@ -310,7 +312,7 @@
 
 
 def _read_suspect(task: progress.Task, wire: _Suspect | None) -> None:
-    """Decode that; earlier releases do not tell."""
+    """Decode the details of crashes; earlier releases store none."""
     if wire is None:
         return
     task.youngest_crashes = wire.youngest_crashes
@@ -322,7 +324,7 @@
 
 
 def _write_locations(state: progress.JobState) -> dict[str, _Location]:
-    """Return where the workers of a job's runs can be asked."""
+    """Return the addresses of the workers of a job's runs."""
     return {
         incarnations.parse_incarnation(run.worker).worker: _Location(
             host=run.location.host,
@@ -336,29 +338,29 @@
 
 
 def _read_location(wire: _Location | None) -> progress.Location | None:
-    """Decode where a worker can be asked; earlier releases do not tell."""
+    """Decode the address of a worker; earlier releases store none."""
     if wire is None:
         return None
     return progress.Location(host=wire.host, port=wire.port, vm=wire.vm)
 
 
 def read_summary(payload: bytes) -> Summary:
-    """Decode only what callers may be told.
+    """Decode only what callers may see of a progress record.
 
     :param payload: The progress record.
-    :raises DocumentInvalidError: It does not decode.
+    :raises DocumentInvalidError: The record does not decode.
     """
     record = _decode(payload, _Phase)
     return Summary(phase=record.phase, workspace=record.workspace)
 
 
 def read_workspace(payload: bytes) -> str:
-    """Decode only whose a job is.
+    """Decode only the workspace of a job.
 
     :param payload: The definition's record.
-    :return: Name of the workspace; empty for a job of no workspace.
+    :return: Name of the workspace; empty for none.
     """
-    return _decode(payload, _DefinitionOwner).workspace
+    return _decode(payload, _DefinitionWorkspace).workspace
 
 
 def _decode(payload: bytes, kind: type[T]) -> T:
--- a/src/rackvalve/scheduling/worker_restarts.py
+++ b/src/rackvalve/scheduling/worker_restarts.py
@@ -1,10 +1,10 @@
-"""When a worker has started again: what becomes of its life before.
+"""Worker restarts: what becomes of the runs of earlier incarnations.
 
-A life ends by the word of the one that follows it: no entry and no list can
-tell as surely, for they are of a moment ago.  That word also tells what has
-become of the runs.  An order that was still on its way may have met the later
-life, where its run then is, or has ended; what the later life doesn't name
-ended with the earlier one.
+The first report of a later incarnation proves that the earlier one has ended.
+Entries and the platform's list are weaker proof, since they may be outdated.
+The report also settles the runs: an order that was still in flight may have
+reached the later incarnation, which then lists the run as running or ended.
+All other runs ended with the earlier incarnation.
 """
 
 from __future__ import annotations
@@ -17,38 +17,39 @@
 from rackvalve.scheduling import workers
 
 
-# How long a life that was only heard of is waited for, in seconds: as long as
-# what the one before had may run on.
-HEARD_OF_S = 4.0
+# How long an incarnation that has not reported itself is taken to hold a
+# lease, in seconds: as long as the runs of the earlier one may continue.
+UNREPORTED_LEASE_S = 4.0
 
 
 def note_replaced(
     book: books.Book, earlier: workers.WorkerState, born: int, now: float
 ) -> workers.WorkerState | None:
-    """Note that another life answers in place of an earlier one.
+    """Record that another incarnation answers in place of an earlier one.
 
-    What the earlier one had is settled once the later one has told what it
-    has; until then nothing is said to be over.
+    The runs of the earlier incarnation stay until the later one has reported.
 
-    :param book: The book.
-    :param earlier: The earlier life.
-    :param born: When the later one began, in milliseconds since 1970.
+    :param book: The book of workers and runs.
+    :param earlier: The earlier incarnation.
+    :param born: When the later one started, in milliseconds since 1970.
     :param now: Present time, in seconds.
-    :return: The later life; ``None`` if that was noted before.
+    :return: The later incarnation; ``None`` if it was recorded before.
     """
     if earlier.replaced or earlier.location is None:
         return None
     earlier.replaced = True
-    life = incarnations.Incarnation(worker=earlier.life.worker, born=born)
-    later = book.add_life(life.identity)
+    incarnation = incarnations.Incarnation(
+        worker=earlier.life.worker, born=born
+    )
+    later = book.add_life(incarnation.identity)
     later.location = later.location or earlier.location
-    later.note_extension(now, HEARD_OF_S)
+    later.note_extension(now, UNREPORTED_LEASE_S)
     entry = earlier.entry
     if (
         entry is not None
         and incarnations.parse_incarnation(entry.identity).born is None
     ):
-        # It tells no birth, and is the present life's.
+        # An entry without a start time belongs to the present incarnation.
         book.set_entry(entry)
     return later
 
@@ -61,32 +62,32 @@
     now: float,
     wall: float,
 ) -> list[releases.Release]:
-    """Let a life that answers take over from those before it.
+    """Settle the runs of earlier incarnations by the report of a later one.
 
-    :param book: The book.
-    :param worker: The life that has made the report.
-    :param report: All that it has.
+    :param book: The book of workers and runs.
+    :param worker: The incarnation that has reported.
+    :param report: Its report, with all its runs.
     :param now: Present time, in seconds.
     :param wall: Present time, seconds since 1970.
-    :return: What ended with each of the lives before.
+    :return: The runs that ended with each earlier incarnation.
     """
-    found = []
+    released = []
     for earlier in _list_earlier(book, worker):
         _move_runs(book, earlier, worker, report)
         release = endings.end_life(
             book, earlier.identity, releases.RESTARTED, now=now, wall=wall
         )
         if release is not None:
-            found.append(release)
-    return found
+            released.append(release)
+    return released
 
 
 def _list_earlier(
     book: books.Book, worker: workers.WorkerState
 ) -> list[workers.WorkerState]:
-    """Return the lives that a worker has had before.
+    """Return the earlier incarnations of a worker.
 
-    One that only an entry names, and that was never asked, may be the next.
+    One that only an entry names, and that was never asked, may be a later one.
     """
     return [
         other
@@ -107,13 +108,13 @@
     later: workers.WorkerState,
     report: messages.Report,
 ) -> None:
-    """Move the runs that are, or were, on the later life.
+    """Move the runs that are, or were, on the later incarnation.
 
-    A record that tells no birth may mean the later one in all of its runs.
+    A record without a start time may mean the later one in all of its runs.
     """
-    told = {(row.task, row.run) for row in report.running}
-    told |= {(row.task, row.run) for row in report.ended}
-    is_unknown = earlier.life.born is None
+    reported = {(row.task, row.run) for row in report.running}
+    reported |= {(row.task, row.run) for row in report.ended}
+    is_start_unknown = earlier.life.born is None
     for key, placed in list(earlier.runs.items()):
-        if key in told or (is_unknown and placed.run.inherited):
+        if key in reported or (is_start_unknown and placed.run.inherited):
             book.move_run(placed, later)
