--- a/src/rackvalve/scheduling/failure_detector.py
+++ b/src/rackvalve/scheduling/failure_detector.py
@@ -5,9 +5,7 @@
 that does not exist.  And runs on a VM that is off need not wait 4.4 s for the
 end of the worker's lease.
 
-On simulated days with faults, among them the failure of a rack of four VMs,
-both together earn 0.010 more of the worth of all jobs (40 pairs of days,
-standard error 0.003).
+When a whole rack of VMs fails, both savings count at once.
 """
 
 from __future__ import annotations
--- a/src/rackvalve/scheduling/fencing_tokens.py
+++ b/src/rackvalve/scheduling/fencing_tokens.py
@@ -1,13 +1,14 @@
-"""The fencing tokens that one owner shows to workers.
+"""The fencing tokens that one owner sends to workers.
 
-A worker does nothing for a lower token than the greatest that it has seen.  A
-life that follows another one has seen none, and would carry out a call that
-was meant for the one before: a start of a run that is over by now, or a hold
-that lets it forget ends which nobody has read.  So each later life is shown a
-greater token than any call to those before it.
+A worker rejects calls with a lower token than the greatest that it has seen.
+A new incarnation has seen none, and would carry out a call that was meant for
+an earlier one: a start of a run that is over by now, or a hold that lets the
+worker drop ends which the owner has not read.  So each new incarnation is
+sent a greater token than any call to the earlier ones.
 
-Each token is the revision of a commit under the ownership: above the owner's
-own, and below that of any later owner, whose taking on is a later change.
+Each token is the revision of a commit under the ownership: not below the
+owner's first token, and below that of any later owner, whose election is a
+later commit.
 """
 
 from __future__ import annotations
@@ -16,57 +17,57 @@
 
 
 class FencingTokens:
-    """Fencing tokens by the life of a worker.
+    """Fencing tokens by incarnation of a worker.
 
-    :param fence: The owner's own.
+    :param fence: The owner's first token.
     """
 
-    __slots__ = ("_fence", "_shown", "_greatest")
+    __slots__ = ("_fence", "_tokens", "_greatest")
 
     def __init__(self, fence: int) -> None:
         self._fence = fence
-        # What lives are shown, by identity; the greatest by name, kept for as
-        # long as this process owns.
-        self._shown: dict[str, int] = {}
+        # Tokens by identity of the incarnation, and the greatest by name of
+        # the worker; the latter are kept as long as this process is owner.
+        self._tokens: dict[str, int] = {}
         self._greatest: dict[str, int] = {}
 
     def find(self, worker: workers.WorkerState) -> int:
-        """Return the token that a life is shown.
+        """Return the token for calls to an incarnation.
 
-        :param worker: The life.
+        :param worker: The incarnation.
         """
-        return self._shown.get(worker.identity, self._fence)
+        return self._tokens.get(worker.identity, self._fence)
 
     def raise_for(self, worker: workers.WorkerState, committed: int) -> None:
-        """Show a life that follows another one a greater token.
+        """Raise the token of an incarnation that follows an earlier one.
 
-        Where nothing was committed since the last one, no start and no end
-        was told to the worker under that.
+        If nothing was committed since the last token, the token stays: no
+        start and no end was sent to the worker with it.
 
-        :param worker: The life.
-        :param committed: Revision of the owner's newest commit.
+        :param worker: The incarnation.
+        :param committed: Revision of the owner's last commit.
         """
         name = worker.life.worker
         greatest = max(self._greatest.get(name, self._fence), committed)
         self._greatest[name] = greatest
-        self._shown[worker.identity] = greatest
+        self._tokens[worker.identity] = greatest
 
     def catch_up(self, worker: workers.WorkerState) -> bool:
-        """Take up the greatest token that the worker was shown by this owner.
+        """Raise a token to the greatest that this owner sent to the worker.
 
-        :param worker: A life that has refused a token.
-        :return: Whether that is a greater one; if not, another owner has
-            shown it.
+        :param worker: An incarnation that has rejected a token.
+        :return: Whether the token is greater now; if not, another owner has
+            sent a greater one.
         """
         greatest = self._greatest.get(worker.life.worker, self._fence)
         if greatest <= self.find(worker):
             return False
-        self._shown[worker.identity] = greatest
+        self._tokens[worker.identity] = greatest
         return True
 
     def forget(self, identity: str) -> None:
-        """Forget a life that is over.
+        """Forget an incarnation that has ended.
 
-        :param identity: The life.
+        :param identity: Identity of the incarnation.
         """
-        self._shown.pop(identity, None)
+        self._tokens.pop(identity, None)
--- a/src/rackvalve/scheduling/job_starts.py
+++ b/src/rackvalve/scheduling/job_starts.py
@@ -1,9 +1,9 @@
-"""Which jobs have begun, and how many have not.
+"""Which jobs have begun, and how many have not; the book and reports use it.
 
-A job has begun once a worker has said that a task of it is, or was, there.  A
-start that is planned, recorded or on its way is no such word: it may be
-rejected, or never come.  What callers are told goes by this alone, so it is
-kept in the job's record and never taken back.
+A job has begun once a worker has reported a run of one of its tasks.  A start
+that is planned, recorded or in flight does not count: it may be rejected or
+lost.  Callers see this phase, so it is kept in the job's record and never
+reverted.
 """
 
 from __future__ import annotations
@@ -15,30 +15,30 @@
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import workers
 
-# Ends by which tasks that start together have worked; the others may mean that
-# they have waited for each other in vain.
+# Endings that prove that the tasks of a gang have worked.  With others they
+# may have waited for each other in vain.
 _WORKED = frozenset({messages.Ending.DONE, messages.Ending.FAILED})
 
 
 def note_run_seen(placed: workers.Placed) -> bool:
-    """Note that a worker has a run.
+    """Record that a worker reports a run as running.
 
     :param placed: The run.
-    :return: Whether its job has begun by that.
+    :return: Whether the job has begun with this run.
     """
     placed.run.begun = True
-    return _is_complete(placed) and _begin(placed.state)
+    return _is_gang_seen(placed) and _begin(placed.state)
 
 
 def note_run_ended(
     state: progress.JobState, step: definition.Step, ending: messages.Ending
 ) -> bool:
-    """Note that a worker has had a run.
+    """Record that a worker reports a run as ended.
 
     :param state: The run's job.
     :param step: The run's step.
-    :param ending: How it ended.
-    :return: Whether the job has begun by that.
+    :param ending: How the run ended.
+    :return: Whether the job has begun with this run.
     """
     if step.gang and ending not in _WORKED:
         return False
@@ -76,10 +76,10 @@
     return True
 
 
-def _is_complete(placed: workers.Placed) -> bool:
-    """Return whether all that must be there with a run is there.
+def _is_gang_seen(placed: workers.Placed) -> bool:
+    """Return whether all runs that must work together have been seen.
 
-    Tasks that start together begin once all of them are.
+    A gang has begun once all its runs have been reported by their workers.
     """
     if not placed.step.gang:
         return True
