--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -15,9 +15,9 @@
 from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import fencing_tokens
 from rackvalve.scheduling import fleet
+from rackvalve.scheduling import maintenance
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import queues
-from rackvalve.scheduling import upkeep
 from rackvalve.scheduling import worker_clock
 from rackvalve.scheduling import worker_restarts
 from rackvalve.scheduling import workers
@@ -29,7 +29,7 @@
 
 def make_configuration(bound: int) -> queues.Configuration:
     """Return the configuration with a workspace that has a bound, or none."""
-    room = fleet.Room(cpu=bound, memory=0, gpu=0)
+    room = fleet.Resources(cpu=bound, memory=0, gpu=0)
     workspace = account.Workspace(name=WORKSPACE, rate=1.0, bound=room)
     return dataclasses.replace(
         models.CONFIGURATION, workspaces=directory.Directory([workspace])
@@ -66,8 +66,10 @@
         made = cores.make_cores(world.now, inherited_lease=lease)
         self.book, self.handler = made.book, made.handler
         self.planner = made.planner
-        self.upkeep = upkeep.Upkeep(self.book)
-        self.silence = failure_detector.FailureDetector(self.book, self.upkeep)
+        self.maintenance = maintenance.MaintenancePlanner(self.book)
+        self.silence = failure_detector.FailureDetector(
+            self.book, self.maintenance
+        )
         if rules.keep_bound:
             self.book.set_configuration(make_configuration(rules.bound))
         self.refresh()
@@ -149,7 +151,7 @@
         if self.deposed:
             return
         if self.listed is not None:
-            self.upkeep.take_list(*self.listed)
+            self.maintenance.take_list(*self.listed)
             self.listed = None
         self.silence.check(self.world.now)
         self.planner.stop_and_release(self.world.now, self.world.now)
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -15,9 +15,9 @@
 from rackvalve.platform import store as stores
 from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import fleet
+from rackvalve.scheduling import maintenance
 from rackvalve.scheduling import queues
 from rackvalve.scheduling import sizing
-from rackvalve.scheduling import upkeep
 
 PREFIX = "op/evacuate/"
 SPARE = "spare"
@@ -139,15 +139,15 @@
             configuration, pools={**configuration.pools, SPARE: spare}
         )
     )
-    context.upkeep = upkeep.Upkeep(bench.book)
+    context.maintenance = maintenance.MaintenancePlanner(bench.book)
     vms = [make_vm(name, models.POOL, "a", worker=name) for name in names]
     vms += [make_vm(f"a{n}", SPARE, "a") for n in range(9)]
     vms += [make_vm(f"b{n}", SPARE, "b") for n in range(9)]
-    context.upkeep.take_list(vms, bench.now)
-    context.sizing = sizing.Sizing(
+    context.maintenance.take_list(vms, bench.now)
+    context.sizing = sizing.Sizer(
         bench.book,
-        context.upkeep,
-        failure_detector.FailureDetector(bench.book, context.upkeep),
+        context.maintenance,
+        failure_detector.FailureDetector(bench.book, context.maintenance),
     )
 
 
@@ -176,7 +176,7 @@
 
 @behave.then("no VM of hall a is given away")
 def check_kept(context):
-    assert not context.sizing.leaving()
+    assert not context.sizing.list_leaving()
 
 
 @behave.when(
--- a/features/steps/standing_steps.py
+++ b/features/steps/standing_steps.py
@@ -17,9 +17,9 @@
 from rackvalve.manager import reporter as reporters
 from rackvalve.manager import timing
 from rackvalve.scheduling import fleet
+from rackvalve.scheduling import maintenance
 from rackvalve.scheduling import queues
 from rackvalve.scheduling import standing
-from rackvalve.scheduling import upkeep
 from rackvalve import telemetry as telemetries
 from rackvalve.workspaces import account
 from rackvalve.workspaces import directory
@@ -59,7 +59,7 @@
 
 
 def bound_workspace(context):
-    bound = fleet.Room(cpu=1, memory=0, gpu=0)
+    bound = fleet.Resources(cpu=1, memory=0, gpu=0)
     north = account.Workspace(name="north", rate=1.0, bound=bound)
     context.state.workspace = north.name
     context.bench.book.usage.add(north.name, bound)
@@ -67,8 +67,10 @@
 
 
 def ask_adviser(context):
-    advice = queues.Advice(decide_time=0.1, worker_time=0.1, valid=1.0)
-    configure(context, dataclasses.replace(models.QUEUE, advice=advice))
+    advice = queues.AdmissionLimits(
+        decide_time=0.1, worker_time=0.1, valid=1.0
+    )
+    configure(context, dataclasses.replace(models.QUEUE, admission=advice))
 
 
 def silence_own(context):
@@ -102,7 +104,7 @@
         context.bench.now, context.bench.now
     ),
     "no worker confirms a start": lambda context: context.bench.plan(),
-    "a wave closes the workers": change_workers(closing=upkeep.CLOSED),
+    "a wave closes the workers": change_workers(closing=maintenance.CLOSED),
     "the workers are surplus": change_workers(closing="surplus"),
     "the workers fall silent": silence_all,
     "the workers were never heard": change_workers(established=False),
--- a/features/steps/upkeep_steps.py
+++ b/features/steps/upkeep_steps.py
@@ -12,11 +12,11 @@
 from rackvalve.jobs import definition
 from rackvalve.scheduling import eviction
 from rackvalve.scheduling import fleet
+from rackvalve.scheduling import maintenance
 from rackvalve.scheduling import messages
+from rackvalve.scheduling import pacing
 from rackvalve.scheduling import queues
-from rackvalve.scheduling import sharing
 from rackvalve.scheduling import sizing
-from rackvalve.scheduling import upkeep
 
 AWAY_S = 1.0
 
@@ -29,12 +29,12 @@
     context.vms = [f"w{number}" for number in range(count)]
     context.bench = benches.Bench(context.vms)
     vms.make_pools(context.bench.book)
-    context.upkeep = upkeep.Upkeep(context.bench.book)
+    context.maintenance = maintenance.MaintenancePlanner(context.bench.book)
     context.wave = fleet.Wave(
         number=1, vms=tuple(context.vms), duration=60.0, most_away=most
     )
-    context.upkeep.add_wave(context.wave, context.bench.now)
-    context.upkeep.take_list(
+    context.maintenance.add_wave(context.wave, context.bench.now)
+    context.maintenance.take_list(
         [vms.list_vm(vm) for vm in context.vms], context.bench.now
     )
     context.most = most
@@ -48,7 +48,7 @@
     context.lives = {vm: vm for vm in context.vms}
     # When each VM that is away comes back.
     context.back = {}
-    state = context.upkeep.waves[1]
+    state = context.maintenance.waves[1]
     for number in range(600):
         bench.now += 0.1
         if number % 10 == 0:
@@ -79,7 +79,7 @@
 
 def maintain_chosen(context):
     """Carry out the orders to VMs, and note what ran on them."""
-    bench, care = context.bench, context.upkeep
+    bench, care = context.bench, context.maintenance
     for order in care.decide(bench.now):
         worker = bench.book.workers[context.lives[order.vm]]
         context.busy.extend(worker.runs)
@@ -109,10 +109,12 @@
 
 def close_and_list(context):
     """Tell workers whether they are closed, and list all VMs."""
-    bench, care = context.bench, context.upkeep
+    bench, care = context.bench, context.maintenance
     for worker in bench.book.workers.values():
         vm = worker.entry.vm
-        worker.closing = upkeep.CLOSED if vm in care.leaving() else ""
+        worker.closing = (
+            maintenance.CLOSED if vm in care.list_leaving() else ""
+        )
     care.take_list(
         [
             vms.list_vm(vm, worker=life, up=vm not in context.back)
@@ -150,7 +152,7 @@
 @behave.then("the wave is complete only after the last of them")
 def check_complete(context):
     assert not context.early
-    assert context.upkeep.waves[1].complete
+    assert context.maintenance.waves[1].complete
 
 
 @behave.when(
@@ -161,14 +163,14 @@
     bench.add(definition.Step(tasks=2, cpu=4))
     orders = bench.start_all()
     assert len(orders) == 2
-    context.upkeep.take_list(
+    context.maintenance.take_list(
         [vms.list_vm(vm, worker=f"old-{vm}") for vm in context.vms], bench.now
     )
 
 
 @behave.then("that VM is not maintained")
 def check_not_maintained(context):
-    assert not context.upkeep.decide(context.bench.now)
+    assert not context.maintenance.decide(context.bench.now)
 
 
 @behave.given(
@@ -185,8 +187,8 @@
 @behave.when("its VM is to leave for {reason}")
 def vacate(context, reason):
     patience = {
-        "maintenance": upkeep.PATIENCE_S,
-        "surplus": sizing.PATIENCE_S,
+        "maintenance": maintenance.GRACE_S,
+        "surplus": sizing.GRACE_S,
     }
     eviction.vacate(
         context.bench.book,
@@ -206,7 +208,7 @@
     found = set()
     for _ in range(tenths):
         context.bench.now += 0.1
-        for order in context.upkeep.decide(context.bench.now):
+        for order in context.maintenance.decide(context.bench.now):
             found.add(order.vm)
     return found
 
@@ -214,7 +216,7 @@
 @behave.when("an owner that had ordered 1 VM and finished 2 is replaced")
 def restore(context):
     ordered, *done = context.vms[:3]
-    context.upkeep.restore(1, [ordered], done, context.bench.now)
+    context.maintenance.restore(1, [ordered], done, context.bench.now)
     context.expected = {ordered}
 
 
@@ -245,8 +247,8 @@
         bench.now += 0.1
         for worker in bench.book.workers.values():
             worker.answered = bench.now
-        assert not context.upkeep.decide(bench.now) and not bench.stops()
-        leaving = context.upkeep.leaving()
+        assert not context.maintenance.decide(bench.now) and not bench.stops()
+        leaving = context.maintenance.list_leaving()
         context.ever |= leaving
         closed = {vm: closed.get(vm, 0.0) + 0.1 for vm in leaving}
         context.stretch = max(context.stretch, *closed.values(), 0.0)
@@ -270,18 +272,18 @@
     context.found = []
     for _ in range(300):
         context.bench.now += 0.1
-        context.upkeep.take_list(
+        context.maintenance.take_list(
             [vms.list_vm(vm, lost=vm in context.lost) for vm in context.vms],
             context.bench.now,
         )
-        for order in context.upkeep.decide(context.bench.now):
+        for order in context.maintenance.decide(context.bench.now):
             context.found.append(order.vm)
             if order.vm in context.lost:
-                context.upkeep.note_refused(
+                context.maintenance.note_refused(
                     order, context.bench.now, for_good=False
                 )
             else:
-                context.upkeep.note_ordered(order, context.bench.now)
+                context.maintenance.note_ordered(order, context.bench.now)
 
 
 @behave.then("only the others are ordered within 30 seconds")
@@ -291,7 +293,7 @@
 
 @behave.when("{count:d} of the VMs were ordered lately by another owner")
 def hold_vms(context, count):
-    context.upkeep.held = frozenset(context.vms[:count])
+    context.maintenance.held = frozenset(context.vms[:count])
 
 
 @behave.then("only the other VM is maintained")
@@ -305,18 +307,18 @@
     "later"
 )
 def check_late(context, few, many):
-    state = context.upkeep.waves[1]
+    state = context.maintenance.waves[1]
     bench = context.bench
     for vm in context.vms:
         # So that no VM is empty and ordered at once.
         bench.add(definition.Step(cpu=1), identity=f"{vm:0>16}")
     bench.start_all()
-    aim = state.began + upkeep.AIM * state.wave.duration
+    aim = state.began + maintenance.PLANNED_PART * state.wave.duration
     bench.now = aim - 0.5
-    context.upkeep.decide(bench.now)
+    context.maintenance.decide(bench.now)
     assert len(state.closed) == few, state.closed
     bench.now = aim + 0.5
-    context.upkeep.decide(bench.now)
+    context.maintenance.decide(bench.now)
     assert len(state.closed) == many, state.closed
 
 
@@ -333,8 +335,8 @@
 
 @behave.then("at most 1 VM is closed at a time")
 def check_closed_at_once(context):
-    context.upkeep.decide(context.bench.now)
-    assert len(context.upkeep.leaving()) == 1
+    context.maintenance.decide(context.bench.now)
+    assert len(context.maintenance.list_leaving()) == 1
 
 
 @behave.given(
@@ -359,7 +361,7 @@
 def press(context, tail, pace):
     context.placed["1"].run.load = float(tail)
     context.placed["2"].run.pace = pace
-    context.orders = sharing.set_paces(
+    context.orders = pacing.set_paces(
         context.bench.book.workers["w1"], context.bench.now, 0.1
     )
 
@@ -367,7 +369,7 @@
 @behave.then("the pace becomes {new:d}")
 def check_pace(context, new):
     assert context.placed["2"].run.pace == new
-    assert context.placed["1"].run.pace == sharing.FULL_PACE
+    assert context.placed["1"].run.pace == pacing.FULL_PACE
     for order in context.orders:
         assert order.percent == new and order.task.startswith("2" * 16)
 
@@ -375,11 +377,13 @@
 @behave.given("3 workers of a queue with an admission service")
 def make_admitted(context):
     context.bench = benches.Bench(["w1", "w2", "w3"])
-    advice = queues.Advice(decide_time=0.1, worker_time=0.01, valid=3.0)
+    advice = queues.AdmissionLimits(
+        decide_time=0.1, worker_time=0.01, valid=3.0
+    )
     context.bench.book.set_configuration(
         dataclasses.replace(
             models.CONFIGURATION,
-            queues=(dataclasses.replace(models.QUEUE, advice=advice),),
+            queues=(dataclasses.replace(models.QUEUE, admission=advice),),
         )
     )
     context.bench.add(definition.Step(cpu=1))
--- a/src/rackvalve/scheduling/demand.py
+++ b/src/rackvalve/scheduling/demand.py
@@ -39,15 +39,15 @@
     :param book: The book.
     :param now: Present time, in seconds.
     """
-    needs: dict[str, fleet.Room] = {}
-    units: dict[str, fleet.Room] = {}
+    needs: dict[str, fleet.Resources] = {}
+    units: dict[str, fleet.Resources] = {}
     for worker in book.workers.values():
         if worker.entry is None:
             continue
         pool = worker.entry.pool
         units[pool] = worker.entry.capacity
         used = worker.entry.capacity.minus(worker.free)
-        needs[pool] = needs.get(pool, fleet.EMPTY).plus(used)
+        needs[pool] = needs.get(pool, fleet.NO_RESOURCES).plus(used)
     largest: dict[str, float] = {}
     arrivals: dict[str, int] = {}
     bounds = _Bounds(book)
@@ -58,7 +58,7 @@
         pool = queue.pool
         if state.waiting:
             waiting = bounds.take(state, _sum_waiting(state))
-            needs[pool] = needs.get(pool, fleet.EMPTY).plus(waiting)
+            needs[pool] = needs.get(pool, fleet.NO_RESOURCES).plus(waiting)
         if now - state.arrived <= NEW_S:
             own = _count_vms(_sum_first_step(state), units.get(pool))
             largest[pool] = max(largest.get(pool, 0.0), own)
@@ -84,12 +84,14 @@
 
     def __init__(self, book: books.Book) -> None:
         self._book = book
-        self._left: dict[str, fleet.Room] = {}
+        self._left: dict[str, fleet.Resources] = {}
 
-    def take(self, state: progress.JobState, room: fleet.Room) -> fleet.Room:
+    def take(
+        self, state: progress.JobState, room: fleet.Resources
+    ) -> fleet.Resources:
         """Return the part of a job's room that may run, and count it."""
         workspace = self._book.find_workspace(state)
-        if workspace is None or workspace.bound == fleet.EMPTY:
+        if workspace is None or workspace.bound == fleet.NO_RESOURCES:
             return room
         left = self._left.get(workspace.name)
         if left is None:
@@ -99,25 +101,27 @@
         return allowed
 
 
-def _sum_waiting(state: progress.JobState) -> fleet.Room:
+def _sum_waiting(state: progress.JobState) -> fleet.Resources:
     """Return the room that the waiting tasks of a job need."""
-    total = fleet.EMPTY
+    total = fleet.NO_RESOURCES
     for name in state.waiting:
-        total = total.plus(fleet.need_of(state.job.steps[name.step]))
+        total = total.plus(
+            fleet.get_resource_request(state.job.steps[name.step])
+        )
     return total
 
 
-def _sum_first_step(state: progress.JobState) -> fleet.Room:
+def _sum_first_step(state: progress.JobState) -> fleet.Resources:
     """Return the room that all tasks of a job's first step need."""
     step = state.job.steps[0]
-    need = fleet.need_of(step)
-    return fleet.Room(
+    need = fleet.get_resource_request(step)
+    return fleet.Resources(
         cpu=need.cpu * step.tasks,
         memory=need.memory * step.tasks,
         gpu=need.gpu * step.tasks,
     )
 
 
-def _count_vms(need: fleet.Room, unit: fleet.Room | None) -> float:
+def _count_vms(need: fleet.Resources, unit: fleet.Resources | None) -> float:
     """Return how many VMs a need fills; 0 for a pool without any."""
-    return 0.0 if unit is None else need.count_in(unit)
+    return 0.0 if unit is None else need.count_vms(unit)
--- a/src/rackvalve/scheduling/failure_detector.py
+++ b/src/rackvalve/scheduling/failure_detector.py
@@ -14,7 +14,7 @@
 
 from rackvalve.scheduling import book as books
 from rackvalve.scheduling import listings
-from rackvalve.scheduling import upkeep as upkeeps
+from rackvalve.scheduling import maintenance as maintenances
 from rackvalve.scheduling import workers
 
 # A worker that has not answered for this long (seconds) is looked up in the
@@ -35,12 +35,12 @@
     """Checks the last answers of all workers and the platform's list of VMs.
 
     :param book: The book with the workers.
-    :param upkeep: Has the platform's list of VMs.
+    :param maintenance: Has the platform's list of VMs.
     """
 
     __slots__ = (
         "_book",
-        "_upkeep",
+        "_maintenance",
         "_listings",
         "_first_seen",
         "_lost",
@@ -49,9 +49,11 @@
         "has_overdue",
     )
 
-    def __init__(self, book: books.Book, upkeep: upkeeps.Upkeep) -> None:
+    def __init__(
+        self, book: books.Book, maintenance: maintenances.MaintenancePlanner
+    ) -> None:
         self._book = book
-        self._upkeep = upkeep
+        self._maintenance = maintenance
         self._listings = listings.Listings()
         # When each worker was first checked, in seconds.
         self._first_seen: dict[str, float] = {}
@@ -71,8 +73,8 @@
         :return: Identities of workers that were newly found to be lost.
         """
         self._listings.take(
-            self._upkeep.vms,
-            self._upkeep.read,
+            self._maintenance.vms,
+            self._maintenance.read,
             {worker.life.worker for worker in self._book.workers.values()},
         )
         # Includes workers that only records name, without an entry.
--- a/src/rackvalve/scheduling/isolation.py
+++ b/src/rackvalve/scheduling/isolation.py
@@ -257,7 +257,7 @@
         return view.choose(
             group.step,
             task,
-            fleet.need_of(group.step),
+            fleet.get_resource_request(group.step),
             starters.count_used(state, group.repetition, group.number),
             now=now,
             state=state,
@@ -317,13 +317,13 @@
         tickets = self._starter.find_tickets(
             group.state, group.repetition, group.number
         )
-        need = fleet.need_of(group.step)
+        need = fleet.get_resource_request(group.step)
         able = [
             worker
             for worker in view.members
             if worker.identity not in view.reserved
             and not crashes.is_isolating(worker)
-            and placement.bears(worker, group.step, tickets)
+            and placement.could_fit(worker, group.step, tickets)
             and _count_fitting(worker, group.state, need, 1)
         ]
         # Workers already reserved for the job come first.
@@ -358,7 +358,7 @@
 def _count_fitting(
     worker: workers.WorkerState,
     state: progress.JobState,
-    need: fleet.Room,
+    need: fleet.Resources,
     most: int,
 ) -> int:
     """Return how many tasks fit once a worker's unsettled runs have ended."""
--- a/src/rackvalve/scheduling/objectives.py
+++ b/src/rackvalve/scheduling/objectives.py
@@ -15,7 +15,7 @@
 # (seconds), late or not: an accepted job must not stand for 3 s while later
 # ones of its queue start.  It costs 0.004 of a day's worth (20 pairs of plays
 # where turns are beyond the pools, standard error 0.002).
-PASSED_OVER_S = 2.0
+STARVATION_S = 2.0
 
 
 class Grade(enum.IntEnum):
@@ -46,13 +46,13 @@
     age = now - state.arrived
     if age > WORTHLESS_AFTER * objective:
         return Grade.WORTHLESS
-    left = estimate_chain(book, state, open_only=True)
+    left = estimate_critical_path(book, state, open_only=True)
     if age + left > objective:
         return Grade.LATE
     return Grade.IN_TIME if state.guaranteed else Grade.BEYOND_RATE
 
 
-def is_passed_over(state: progress.JobState, now: float) -> bool:
+def is_starved(state: progress.JobState, now: float) -> bool:
     """Return whether nothing of a job has started for too long.
 
     What a workspace sent beyond its rate waits for the others all the same.
@@ -60,7 +60,7 @@
     :param state: The job.
     :param now: Present time, in seconds.
     """
-    if not state.guaranteed or now - state.arrived <= PASSED_OVER_S:
+    if not state.guaranteed or now - state.arrived <= STARVATION_S:
         return False
     return state.next_run == 1
 
@@ -74,10 +74,12 @@
     :param state: The job.
     :param queue: Its queue.
     """
-    return queue.allowance + queue.stretch * estimate_chain(book, state)
+    return queue.allowance + queue.stretch * estimate_critical_path(
+        book, state
+    )
 
 
-def estimate_chain(
+def estimate_critical_path(
     book: books.Book, state: progress.JobState, *, open_only: bool = False
 ) -> float:
     """Return the time that a job's longest chain of steps takes, in seconds.
--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -138,7 +138,9 @@
                 self._check_run(worker, placed, now)
             if self._is_silent(worker, now):
                 self._copy_runs(worker, now)
-            self._book.speeds.judge(worker, self._book.durations, now)
+            self._book.speeds.detect_slowness(
+                worker, self._book.durations, now
+            )
             if now < worker.slow_until:
                 self._move_stragglers(worker, now)
         return released
@@ -159,7 +161,7 @@
         views: dict[str, placement.PoolView] = {}
         for placed in list(worker.runs.values()):
             queue = self._book.queues.get(placed.state.queue)
-            if queue is None or queue.advice is not None:
+            if queue is None or queue.admission is not None:
                 continue
             if not _may_copy(placed):
                 continue
@@ -189,7 +191,7 @@
             if run.stop_wanted or not speeds.is_comparable(placed):
                 continue
             rest = speeds.estimate_rest(run)
-            usual = self._book.speeds.expect(placed)
+            usual = self._book.speeds.estimate_typical(placed)
             if rest is None or usual is None or rest < usual + RESTART_S:
                 continue
             if not self._has_room_elsewhere(placed, now):
@@ -246,7 +248,7 @@
         """Return whether a lasting task is better started elsewhere."""
         run = placed.run
         waited = now - run.percent_since
-        if run.percent >= eviction.AT_WORK_PERCENT:
+        if run.percent >= eviction.READY_PERCENT:
             return False
         if waited <= LASTING_START_S:
             return False
@@ -307,12 +309,12 @@
         planned = self._isolator.plan(view, states, now)
         # Needs that found no room in this round; greater ones find none
         # either.
-        full: list[fleet.Room] = []
+        full: list[fleet.Resources] = []
         for state in states:
             by_step = _group_ready(state, now)
             for (repetition, number), tasks in by_step.items():
                 step = state.job.steps[number]
-                need = fleet.need_of(step)
+                need = fleet.get_resource_request(step)
                 if any(_covers(need, other) for other in full):
                     continue
                 allowed = self._starter.count_allowed(state, step, len(tasks))
@@ -333,7 +335,7 @@
     ) -> bool:
         """Return whether only room decides where a step's tasks may go."""
         special = step.most_per_worker or step.labels or step.gang
-        return not special and self._book.queues[state.queue].advice is None
+        return not special and self._book.queues[state.queue].admission is None
 
     def _plan_step(
         self,
@@ -343,7 +345,7 @@
         repetition: int,
         number: int,
         tasks: list[progress.Task],
-        need: fleet.Room,
+        need: fleet.Resources,
         now: float,
     ) -> int:
         used = starters.count_used(state, repetition, number)
@@ -406,7 +408,7 @@
             due = first * state.job.interval
             return (float(queue.priority), grade, state.arrived + due)
         grade = objectives.grade(self._book, state, queue, now)
-        if objectives.is_passed_over(state, now):
+        if objectives.is_starved(state, now):
             grade = objectives.Grade.IN_TIME
         objective = objectives.estimate_objective(self._book, state, queue)
         return (float(queue.priority), grade, state.arrived + objective)
@@ -425,7 +427,7 @@
     return len(task.runs) == 1
 
 
-def _covers(need: fleet.Room, other: fleet.Room) -> bool:
+def _covers(need: fleet.Resources, other: fleet.Resources) -> bool:
     """Return whether a need is in all ways at least another one."""
     return need.fits(other)
 
--- a/tools/experiments/jobs.py
+++ b/tools/experiments/jobs.py
@@ -40,7 +40,7 @@
 def measure_placement():
     """Time one choice of a worker, and a scan of all of them."""
     step = definition.Step(cpu=1)
-    need = fleet.need_of(step)
+    need = fleet.get_resource_request(step)
     for size in POOL_SIZES:
         members = [_make_worker(number) for number in range(size)]
         taken = _time_choice(members, step, need)
@@ -64,7 +64,7 @@
         rack="",
         hall="h",
         labels=frozenset(),
-        capacity=fleet.Room(cpu=1000000, memory=1000, gpu=0),
+        capacity=fleet.Resources(cpu=1000000, memory=1000, gpu=0),
         draining=False,
         remaining=None,
     )
