--- a/features/job_bench.py
+++ b/features/job_bench.py
@@ -55,7 +55,7 @@
                     checkpoint="",
                 )
             )
-        self.handler.take(
+        self.handler.apply(
             worker,
             messages.Report(
                 sent=self.now, running=tuple(running), ended=tuple(rows)
@@ -80,7 +80,7 @@
         self.planner.plan(self.now, self.now)
         for state in self.book.jobs.values():
             planned = state.list_planned()
-            self.book.take_recorded(state.identity, planned, self.now)
+            self.book.order_recorded(state.identity, planned, self.now)
 
     def starts(self):
         """Take the starts ordered so far."""
@@ -102,7 +102,7 @@
 
     def confirm(self, order):
         placed = self.placed(order)
-        self.book.take_start(
+        self.book.apply_start_result(
             placed,
             messages.StartResult.STARTED,
             uncertain=False,
@@ -120,7 +120,7 @@
 
     def end_life(self, name, proof="another life answers"):
         """Let a worker's life be over by a proof."""
-        return endings.end_life(
+        return endings.end_incarnation(
             self.book, name, proof, now=self.now, wall=self.now
         )
 
--- a/features/steps/late_start_steps.py
+++ b/features/steps/late_start_steps.py
@@ -200,7 +200,7 @@
     worker = workers.WorkerState("w1", None, 0.0)
     worker.note_extension(context.now, timing.WORKER_LEASE_S)
     until = context.clock.read(context.now) + timing.WORKER_LEASE_S
-    assert until / models.SLOWEST <= worker.lease_over
+    assert until / models.SLOWEST <= worker.lease_expiry
 
 
 @behave.given("a worker whose answer waited {seconds:g} s for its owner")
@@ -209,7 +209,7 @@
     context.bench.add(definition.Step(tasks=1, cpu=1))
     sent = context.bench.now
     context.bench.now += seconds
-    context.bench.handler.take(
+    context.bench.handler.apply(
         context.bench.book.workers["w1"],
         messages.Report(sent=sent, running=(), ended=()),
         now=context.bench.now,
--- a/src/rackvalve/manager/reporter.py
+++ b/src/rackvalve/manager/reporter.py
@@ -7,13 +7,13 @@
 from rackvalve import clocks
 from rackvalve import logs
 from rackvalve.manager import timing
+from rackvalve.scheduling import blockers
 from rackvalve.scheduling import book as books
-from rackvalve.scheduling import hindrance as hindrances
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import planner as planners
 from rackvalve.scheduling import releases
 from rackvalve.scheduling import reports
-from rackvalve.scheduling import standing
+from rackvalve.scheduling import stalls
 from rackvalve import telemetry as telemetries
 
 # Workers that a line names at most.
@@ -35,8 +35,8 @@
         "_planner",
         "_telemetry",
         "_held_at",
-        "_standing",
-        "_standing_at",
+        "_stalls",
+        "_stalls_at",
     )
 
     def __init__(
@@ -52,13 +52,13 @@
         self._telemetry = telemetry
         # When workspaces at their bounds were told of last, in seconds.
         self._held_at = float("-inf")
-        self._standing = standing.Watch(book, planner, timing.FRESHNESS_S)
+        self._stalls = stalls.StallDetector(book, planner, timing.FRESHNESS_S)
         # When jobs that stand still were looked for last, in seconds.
-        self._standing_at = float("-inf")
+        self._stalls_at = float("-inf")
 
     def close(self) -> None:
         """Tell no more of what stood: another process may own."""
-        for cause in hindrances.Cause:
+        for cause in blockers.Cause:
             self._telemetry.jobs_standing.labels(cause.value).set(0)
 
     def log_order(self, order: messages.Order) -> None:
@@ -102,7 +102,7 @@
             waited = clocks.read_steady() - state.arrived
             self._telemetry.job_wait.labels(state.queue).observe(waited)
 
-    def log_held(self, now: float) -> None:
+    def log_bounds(self, now: float) -> None:
         """Tell which workspaces are at their bounds, once a second.
 
         :param now: Present time, in seconds.
@@ -144,7 +144,7 @@
         """Tell of the ends that were handled since the last time."""
         for end in self._handler.ended:
             if end.counted:
-                self._standing.note_end(end.task)
+                self._stalls.note_end(end.task)
             self._telemetry.runs_ended.labels(end.cause).inc()
             logs.write_event(
                 "run.ended",
@@ -185,17 +185,17 @@
                 isolated_crashes=run.isolated_crashes,
             )
 
-    def log_standing(self, now: float) -> None:
+    def log_stalls(self, now: float) -> None:
         """Tell which jobs stand still, once a second.
 
         :param now: Present time, in seconds.
         """
-        if now - self._standing_at < timing.SIZES_LOG_INTERVAL_S:
+        if now - self._stalls_at < timing.SIZES_LOG_INTERVAL_S:
             return
-        self._standing_at = now
-        found = self._standing.look(now)
+        self._stalls_at = now
+        found = self._stalls.scan(now)
         counts = found.count()
-        for cause in hindrances.Cause:
+        for cause in blockers.Cause:
             gauge = self._telemetry.jobs_standing.labels(cause.value)
             gauge.set(counts[cause])
         for pool in found.pools:
@@ -204,7 +204,7 @@
             _log_job(job)
 
 
-def _log_pool(pool: standing.PoolStanding, unjudged: int) -> None:
+def _log_pool(pool: stalls.StalledPool, unjudged: int) -> None:
     logs.write_event(
         "pool.standing",
         pool=pool.pool,
@@ -221,25 +221,25 @@
     )
 
 
-def _log_job(job: standing.JobStanding) -> None:
+def _log_job(job: stalls.StalledJob) -> None:
     fields: dict[str, logs.Field] = {}
-    hindrance = job.hindrance
-    if hindrance.need is not None:
-        fields["cpu"] = hindrance.need.cpu
-        fields["memory"] = hindrance.need.memory
-        fields["gpu"] = hindrance.need.gpu
-    if hindrance.workers:
-        fields["workers"] = list(hindrance.workers[:WORKERS_MOST])
-    if hindrance.proof_in is not None:
-        fields["proof_in"] = round(hindrance.proof_in, 3)
-    if hindrance.awaited is not None:
-        fields["awaited"] = hindrance.awaited.value
+    blocker = job.blocker
+    if blocker.need is not None:
+        fields["cpu"] = blocker.need.cpu
+        fields["memory"] = blocker.need.memory
+        fields["gpu"] = blocker.need.gpu
+    if blocker.workers:
+        fields["workers"] = list(blocker.workers[:WORKERS_MOST])
+    if blocker.proof_in is not None:
+        fields["proof_in"] = round(blocker.proof_in, 3)
+    if blocker.awaited is not None:
+        fields["awaited"] = blocker.awaited.value
     logs.write_event(
         "job.standing",
         job=job.job,
         task=job.task,
         queue=job.queue,
-        pool=hindrance.pool,
+        pool=blocker.pool,
         workspace=job.workspace,
         reason=job.cause.value,
         seconds=round(job.seconds, 3),
@@ -249,8 +249,8 @@
 
 
 def _list_counts(
-    counts: collections.Counter[hindrances.Cause]
-    | collections.Counter[hindrances.Availability],
+    counts: collections.Counter[blockers.Cause]
+    | collections.Counter[blockers.Availability],
 ) -> list[str]:
     """Return counts as texts, the greatest first."""
     return [
--- a/src/rackvalve/scheduling/crashes.py
+++ b/src/rackvalve/scheduling/crashes.py
@@ -78,7 +78,7 @@
 
 
 def attribute_crash(
-    ended: Sequence[workers.Placed],
+    ended: Sequence[workers.PlacedRun],
     fate: releases.Fate,
     now: float,
     *,
@@ -111,7 +111,7 @@
 
 
 def count_crash(
-    placed: workers.Placed, fate: releases.Fate, now: float
+    placed: workers.PlacedRun, fate: releases.Fate, now: float
 ) -> bool:
     """Count the end of a worker against a task that ran on the worker.
 
@@ -139,8 +139,8 @@
 
 
 def _list_youngest(
-    ended: Iterable[workers.Placed],
-) -> list[workers.Placed]:
+    ended: Iterable[workers.PlacedRun],
+) -> list[workers.PlacedRun]:
     """Return the runs that started last on a worker, if they are few.
 
     Of the orders that the worker has not answered, only the first may have
@@ -169,7 +169,7 @@
 
 
 def _is_sole_suspect(
-    placed: workers.Placed, neighbours: Iterable[workers.Placed]
+    placed: workers.PlacedRun, neighbours: Iterable[workers.PlacedRun]
 ) -> bool:
     """Return whether only the job of a run can have caused a worker's crash.
 
@@ -229,7 +229,7 @@
 
 
 def clear_suspect(
-    worker: workers.WorkerState, placed: workers.Placed, asked: float
+    worker: workers.WorkerState, placed: workers.PlacedRun, asked: float
 ) -> bool:
     """Clear a task whose run has worked for long enough.
 
@@ -352,7 +352,7 @@
 
 def list_unsettled(
     worker: workers.WorkerState, state: progress.JobState | None
-) -> list[workers.Placed]:
+) -> list[workers.PlacedRun]:
     """Return the runs of other jobs that could cause a worker's next crash.
 
     :param worker: The worker.
@@ -365,7 +365,7 @@
     ]
 
 
-def _keeps_worker(placed: workers.Placed) -> bool:
+def _keeps_worker(placed: workers.PlacedRun) -> bool:
     """Return whether an isolated run still has its worker to itself."""
     task = placed.task
     if task.unexplained and task.crashes >= LAST_START_FROM:
@@ -374,7 +374,7 @@
     return _read_work_time(placed.run) <= PROMPT_CRASH_S
 
 
-def _is_settled(placed: workers.Placed) -> bool:
+def _is_settled(placed: workers.PlacedRun) -> bool:
     """Return whether a run has worked too long to be a likely cause."""
     if placed.run.number == placed.task.isolated_run and _keeps_worker(placed):
         return False
--- a/src/rackvalve/scheduling/failure_detector.py
+++ b/src/rackvalve/scheduling/failure_detector.py
@@ -117,11 +117,11 @@
 
     def _get_last_answer(self, worker: workers.WorkerState) -> float:
         """Return when a worker's last answer came, or it was first checked."""
-        return max(worker.heard, self._first_seen[worker.identity])
+        return max(worker.last_answer_at, self._first_seen[worker.identity])
 
     def _get_last_alive(self, worker: workers.WorkerState) -> float:
         """Return when a worker was last alive by its answers or its entry."""
-        return max(worker.answered, self._first_seen[worker.identity])
+        return max(worker.last_alive_at, self._first_seen[worker.identity])
 
     def _release(self, worker: workers.WorkerState) -> bool:
         """Expire a worker's lease if the lists prove that it has ended.
@@ -132,7 +132,7 @@
         alive = self._get_last_alive(worker)
         vm = worker.location.vm
         if not self._listings.prove_over(
-            worker.life.worker, vm, began=worker.began, alive=alive
+            worker.life.worker, vm, began=worker.earliest_start, alive=alive
         ):
             return False
         worker.note_lost()
--- a/src/rackvalve/scheduling/job_starts.py
+++ b/src/rackvalve/scheduling/job_starts.py
@@ -20,7 +20,7 @@
 _WORKED = frozenset({messages.Ending.DONE, messages.Ending.FAILED})
 
 
-def note_run_seen(placed: workers.Placed) -> bool:
+def note_run_seen(placed: workers.PlacedRun) -> bool:
     """Record that a worker reports a run as running.
 
     :param placed: The run.
@@ -76,7 +76,7 @@
     return True
 
 
-def _is_gang_seen(placed: workers.Placed) -> bool:
+def _is_gang_seen(placed: workers.PlacedRun) -> bool:
     """Return whether all runs that must work together have been seen.
 
     A gang has begun once all its runs have been reported by their workers.
--- a/src/rackvalve/scheduling/placement.py
+++ b/src/rackvalve/scheduling/placement.py
@@ -198,7 +198,7 @@
     """Rate a worker for a task; less is better."""
     entry = worker.entry
     assert entry is not None
-    suspect = worker.suspect_until > now
+    suspect = worker.backoff_until > now
     away_from_data = bool(step.data_rack) and entry.rack != step.data_rack
     capacity = entry.capacity
     load = 1 - min(
@@ -207,7 +207,7 @@
     )
     crowd = float(used[worker.identity]) if step.lasting else 0.0
     # A lasting task would have to move once more.
-    leaves = float(step.lasting and worker.leaves_later)
+    leaves = float(step.lasting and worker.maintenance_pending)
     neighbours = _count_unfit_neighbours(worker, step)
     strangers = float(crashes.count_conflicting_runs(worker, state, task))
     return (
--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -130,8 +130,8 @@
         """
         released: list[releases.Release] = []
         for worker in list(self._book.workers.values()):
-            if worker.runs and worker.is_over(now):
-                over = endings.release_over(self._book, worker, now, wall)
+            if worker.runs and worker.is_expired(now):
+                over = endings.release_expired(self._book, worker, now, wall)
                 released.append(over)
                 continue
             for placed in list(worker.runs.values()):
@@ -147,7 +147,7 @@
 
     def _is_silent(self, worker: workers.WorkerState, now: float) -> bool:
         """Return whether a worker has not answered this owner for a while."""
-        heard = max(worker.heard, self._book.began)
+        heard = max(worker.last_answer_at, self._book.owned_since)
         return now - heard > self._limits.freshness
 
     def _copy_runs(self, worker: workers.WorkerState, now: float) -> None:
@@ -170,7 +170,7 @@
             self._place_copy(views[queue.pool], placed, now)
 
     def _place_copy(
-        self, view: placement.PoolView, placed: workers.Placed, now: float
+        self, view: placement.PoolView, placed: workers.PlacedRun, now: float
     ) -> None:
         state, task, step = placed.state, placed.task, placed.step
         if not self._starter.count_allowed(state, step, 1):
@@ -201,7 +201,9 @@
                 placed.state, placed.task, run, "its worker is slow"
             )
 
-    def _has_room_elsewhere(self, placed: workers.Placed, now: float) -> bool:
+    def _has_room_elsewhere(
+        self, placed: workers.PlacedRun, now: float
+    ) -> bool:
         """Return whether another worker could take a run's task now."""
         entry = self._book.workers[placed.run.worker].entry
         if entry is None:
@@ -213,7 +215,10 @@
         )
 
     def _check_run(
-        self, worker: workers.WorkerState, placed: workers.Placed, now: float
+        self,
+        worker: workers.WorkerState,
+        placed: workers.PlacedRun,
+        now: float,
     ) -> None:
         run = placed.run
         if run.stop_wanted:
@@ -222,7 +227,7 @@
             reason = "its job has ended"
         elif self._is_stalled(worker, placed, now):
             placed.task.avoid.add(worker.identity)
-            worker.suspect_until = max(worker.suspect_until, now + STALL_S)
+            worker.backoff_until = max(worker.backoff_until, now + STALL_S)
             reason = "it makes no progress"
         elif self._must_leave(worker, placed, now):
             reason = "its worker leaves"
@@ -231,10 +236,13 @@
         self._book.stop(placed.state, placed.task, run, reason)
 
     def _is_stalled(
-        self, worker: workers.WorkerState, placed: workers.Placed, now: float
+        self,
+        worker: workers.WorkerState,
+        placed: workers.PlacedRun,
+        now: float,
     ) -> bool:
         run = placed.run
-        fresh = now - worker.answered <= self._limits.freshness
+        fresh = now - worker.last_alive_at <= self._limits.freshness
         if run.stage is not progress.Stage.CONFIRMED or not fresh:
             return False
         if run.confirmed_at is None or placed.step.gang:
@@ -244,7 +252,7 @@
         since = max(run.percent_since, run.confirmed_at)
         return now - since > STALL_S
 
-    def _is_late(self, placed: workers.Placed, now: float) -> bool:
+    def _is_late(self, placed: workers.PlacedRun, now: float) -> bool:
         """Return whether a lasting task is better started elsewhere."""
         run = placed.run
         waited = now - run.percent_since
@@ -257,17 +265,20 @@
         return eviction.may_evict(self._book, placed, now)
 
     def _must_leave(
-        self, worker: workers.WorkerState, placed: workers.Placed, now: float
+        self,
+        worker: workers.WorkerState,
+        placed: workers.PlacedRun,
+        now: float,
     ) -> bool:
         """Return whether a run is better moved off a worker that will end."""
         if not placed.step.lasting:
             return False
         if worker.entry is not None and worker.entry.draining:
             return True
-        if worker.gone_since is None:
+        if worker.entry_missing_since is None:
             return False
         # It serves on, but will end as one does that said so.
-        missing = now - worker.gone_since > self._limits.entry_grace
+        missing = now - worker.entry_missing_since > self._limits.entry_grace
         return missing and eviction.may_evict(self._book, placed, now)
 
     def list_members(self, pool: str, now: float) -> list[workers.WorkerState]:
@@ -278,7 +289,7 @@
         """
         members = [
             worker
-            for worker in self._book.members.find(pool)
+            for worker in self._book.workers_by_pool.find(pool)
             if worker.takes_work(now, self._limits.freshness)
         ]
         quick = [worker for worker in members if now >= worker.slow_until]
@@ -414,7 +425,7 @@
         return (float(queue.priority), grade, state.arrived + objective)
 
 
-def _may_copy(placed: workers.Placed) -> bool:
+def _may_copy(placed: workers.PlacedRun) -> bool:
     """Return whether a second run of a task may start beside this one."""
     step, task = placed.step, placed.task
     if not step.copies_allowed or step.gang or step.lasting:
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -192,7 +192,7 @@
         """Choose a move; from now on the VM's workers take no work."""
         self.moving[vm] = pool
         for worker in self._maintenance.find_workers(vm):
-            worker.closing = SURPLUS
+            worker.close_reason = SURPLUS
         if pool in self.pools:
             self.pools[pool].have += 1
         return MoveVm(vm=vm, pool=pool)
@@ -255,7 +255,7 @@
         """
         if vm.lost or vm.hall in self._book.evacuated:
             return False
-        worker = self._book.find_present(vm.worker)
+        worker = self._book.find_current(vm.worker)
         if worker is None or worker.entry is None:
             return not vm.up
         if worker.identity in self._silence.silent_workers:
@@ -331,7 +331,7 @@
         later = self._maintenance.list_pending()
         ranked: list[tuple[tuple[int, int, int], str]] = []
         for vm in self._maintenance.vms.values():
-            worker = self._book.find_present(vm.worker)
+            worker = self._book.find_current(vm.worker)
             if vm.pool != name or not vm.up or vm.identity in away:
                 continue
             if worker is None or worker.entry is None:
--- a/src/rackvalve/scheduling/worker_restarts.py
+++ b/src/rackvalve/scheduling/worker_restarts.py
@@ -41,7 +41,7 @@
     incarnation = incarnations.Incarnation(
         worker=earlier.life.worker, born=born
     )
-    later = book.add_life(incarnation.identity)
+    later = book.add_incarnation(incarnation.identity)
     later.location = later.location or earlier.location
     later.note_extension(now, UNREPORTED_LEASE_S)
     entry = earlier.entry
@@ -74,7 +74,7 @@
     released = []
     for earlier in _list_earlier(book, worker):
         _move_runs(book, earlier, worker, report)
-        release = endings.end_life(
+        release = endings.end_incarnation(
             book, earlier.identity, releases.RESTARTED, now=now, wall=wall
         )
         if release is not None:
@@ -91,7 +91,7 @@
     """
     return [
         other
-        for other in book.names.find(worker.life.worker)
+        for other in book.workers_by_name.find(worker.life.worker)
         if other is not worker
         and (
             other.replaced
