--- a/src/rackvalve/scheduling/placement.py
+++ b/src/rackvalve/scheduling/placement.py
@@ -1,7 +1,7 @@
-"""Which worker a task goes to.
+"""Chooses the worker on which a task starts.
 
-The cost of a choice does not grow with the pool: workers are looked at from
-a place that moves on, until enough with room were seen.
+The cost of a choice does not grow with the pool: the search starts at another
+worker each time and ends once enough workers with room were compared.
 """
 
 from __future__ import annotations
@@ -16,29 +16,29 @@
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import workers
 
-# Workers with room that are compared for one task; with more, the choice
-# hardly gets better (the best of 16 at random is in the best 6 %).
-COMPARED = 16
-# A worker whose tasks take less than this many times as long as elsewhere is
-# as good as any other.
-SLOW_FROM = 1.5
+# Workers with room that are compared for one task; more hardly improve the
+# choice (the best of 16 random workers is among the best 6 %).
+MAX_COMPARED_WORKERS = 16
+# A worker counts as slow if its tasks take more than this many times as long
+# as elsewhere.
+SLOW_RATIO = 1.5
 
 Score = tuple[float, ...]
 
 
 class PoolView:
-    """The workers of one pool that take work.
+    """The workers of one pool that accept new runs.
 
     :param members: The workers.
     """
 
-    __slots__ = ("members", "reserved", "_start")
+    __slots__ = ("members", "reserved", "_next_start")
 
     def __init__(self, members: list[workers.WorkerState]) -> None:
         self.members = members
-        # Those of them, by identity, that only one job may start on.
+        # Members reserved for one job each, by identity.
         self.reserved: dict[str, progress.JobState] = {}
-        self._start = 0
+        self._next_start = 0
 
     def choose(
         self,
@@ -57,12 +57,12 @@
 
         :param step: The task's step.
         :param task: The task.
-        :param need: The room that it takes.
+        :param need: The resources that it takes.
         :param used: How many tasks of the step each worker has.
         :param now: Present time, in seconds.
-        :param state: The task's job, if that matters.
-        :param is_isolated: Whether it starts only where no other job could
-            cause a crash.
+        :param state: The task's job; ``None`` if isolation does not matter.
+        :param is_isolated: Whether the task starts only where no other job
+            could cause a crash.
         :param tickets: Admitted workers; ``None`` if all are.
         :param among: Identities of the workers to choose from; ``None`` for
             all.
@@ -72,9 +72,11 @@
         best_score: Score = ()
         seen = 0
         count = len(self.members)
-        self._start = self._start + 1 if self._start + 1 < count else 0
+        self._next_start = (
+            self._next_start + 1 if self._next_start + 1 < count else 0
+        )
         for offset in range(count):
-            worker = self.members[(self._start + offset) % count]
+            worker = self.members[(self._next_start + offset) % count]
             if not worker.free.fits(need):
                 continue
             if among is not None and worker.identity not in among:
@@ -89,7 +91,7 @@
             if best is None or score < best_score:
                 best, best_score = worker, score
             seen += 1
-            if seen >= COMPARED:
+            if seen >= MAX_COMPARED_WORKERS:
                 break
         return best
 
@@ -99,7 +101,7 @@
         state: progress.JobState | None,
         is_isolated: bool,
     ) -> bool:
-        """Return whether suspects on a worker, or a task itself, allow it."""
+        """Return whether isolation lets a task start on a worker."""
         holder = self.reserved.get(worker.identity)
         if is_isolated:
             if holder is not None and holder is not state:
@@ -159,7 +161,7 @@
     step: definition.Step,
     tickets: dict[str, str] | None,
 ) -> bool:
-    """Return whether a worker could take a task if it were empty.
+    """Return whether a task could start on a worker if it were empty.
 
     :param worker: The worker.
     :param step: The task's step.
@@ -195,7 +197,7 @@
     now: float,
     state: progress.JobState | None,
 ) -> Score:
-    """Rate a worker for a task; less is better."""
+    """Rate a worker for a task; a lower score is better."""
     entry = worker.entry
     assert entry is not None
     suspect = worker.suspect_until > now
@@ -213,17 +215,17 @@
     return (
         float(worker.identity in task.avoid),
         float(suspect),
-        # The VM itself may be what crashes.
+        # The VM itself may be the cause of the crashes.
         float(len(task.crashed_on) > 1 and entry.vm in task.crashed_on),
         float(away_from_data),
-        worker.slowness if worker.slowness > SLOW_FROM else 1.0,
+        worker.slowness if worker.slowness > SLOW_RATIO else 1.0,
         strangers,
         crowd,
         leaves,
         neighbours,
-        # Lasting tasks are spread; other work is packed, so that VMs that a
+        # Lasting tasks are spread; other tasks are packed, so that VMs that a
         # pool does not need are empty and can leave at once.  A task that may
-        # crash its worker goes where it takes the least with it.
+        # crash its worker goes where a crash ends the fewest other runs.
         load if step.lasting or task.unexplained else -load,
     )
 
@@ -231,7 +233,7 @@
 def _count_unfit_neighbours(
     worker: workers.WorkerState, step: definition.Step
 ) -> float:
-    """Count runs that a task of the step would disturb, or be disturbed by."""
+    """Count runs that would slow a task of the step or be slowed by it."""
     if step.uses_leftover:
         return float(
             sum(1 for placed in worker.runs.values() if placed.step.tail_limit)
--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -1,11 +1,11 @@
-"""What starts next, and what is stopped because it gets nowhere.
-
-Order of work within a pool: priority, then jobs that last, then jobs that can
-still be in time, the one whose objective ends first.  Of these, jobs that a
-workspace sent beyond its rate come after those of the others, so that one that
-sends too much is late by itself.  Jobs that are late anyway come next, and
-those past any use to their callers last; but none of them is passed over for
-long before its first start.
+"""Plans which tasks an owner starts next and which runs it stops.
+
+Order of jobs within a pool: by priority, then lasting jobs, then jobs that can
+still meet their objective, earliest objective first.  Among these, jobs that a
+workspace sent beyond its rate come after all others, so that a workspace that
+sends too much delays only itself.  Jobs that are late in any case come next,
+and those that no longer earn anything come last; but no job starves before its
+first start.
 """
 
 from __future__ import annotations
@@ -29,27 +29,28 @@
 from rackvalve.scheduling import starter as starters
 from rackvalve.scheduling import workers
 
-# A task whose progress has not moved for this long is stopped and started
-# elsewhere (seconds).  Progress is told in whole percent: a task of 10 s at a
-# tenth of its speed still moves each second.
-STALL_S = 1.2
-# What a run on a slow worker has to lose, at least, for it to start anew, in
-# seconds.  To stop one and order its task again took 0.3 to 0.9 (79 cases in
-# plays); the lower end, since the rest is told too low while a worker turns
-# slow.
-RESTART_S = 0.4
-# A lasting task that is not at work this long after its start is started
-# elsewhere (seconds); the sheets' tasks take up to 1.8 s to be at work.
-LASTING_START_S = 5.0
-# It may have come to work since its worker told, so this takes it away as any
-# other stop does.  Beside one that is away it is left alone for so long
-# (seconds): two tasks that never come to work must not keep each other there.
-LASTING_START_MOST_S = 15.0
+# A task without progress for this long is stopped and started elsewhere, in
+# seconds.  Progress is reported in whole percent: a task of 10 s at a tenth of
+# its speed still progresses each second.
+STALL_TIMEOUT_S = 1.2
+# Least time that a restart must save for a run to leave a slow worker, in
+# seconds.  Stopping a run and ordering its task again takes 0.3 to 0.9 s (79
+# cases); the lower end applies, as the remaining time is underestimated while
+# a worker is getting slow.
+MIN_RESTART_GAIN_S = 0.4
+# A lasting task that is not ready this long after its start is started
+# elsewhere, in seconds; tasks take up to 1.8 s to be ready.
+READY_TIMEOUT_S = 5.0
+# The task may have become ready since its worker's last report, so its stop
+# counts against the step's availability budget.  While that budget is used up
+# it stays for up to this long, in seconds: two tasks that never become ready
+# must not keep each other in place.
+MAX_READY_WAIT_S = 15.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Limits:
-    """Times that the planner goes by.
+    """Time limits of the planner.
 
     :param freshness: Longest time since a worker's last answer for new work
         to be placed on it, in seconds.
@@ -62,10 +63,10 @@
 
 
 class Planner:
-    """Decides over a book.
+    """Decides what starts and what stops among the jobs of a book.
 
     :param book: The book.
-    :param limits: Times to go by.
+    :param limits: Time limits.
     """
 
     __slots__ = (
@@ -86,11 +87,12 @@
         self._isolator = isolation.Isolator(book, self._starter)
         # Admitted workers by step, for queues with an admission service.
         self.tickets = self._starter.tickets
-        # Tasks that their workspaces' bounds held back in the last plan.
+        # Number of tasks by workspace that its bound kept from starting in the
+        # last plan.
         self.held: collections.Counter[str] = collections.Counter()
 
     def plan(self, now: float, wall: float) -> int:
-        """Plan runs for tasks whose turn has come.
+        """Plan runs for waiting tasks that can start now.
 
         :param now: Present time, in seconds.
         :param wall: Present time, seconds since 1970.
@@ -119,10 +121,10 @@
     def stop_and_release(
         self, now: float, wall: float
     ) -> list[releases.Release]:
-        """Release runs that are proved over; stop those with no use here.
+        """Release runs whose lease has expired; stop runs without use.
 
-        A run has none if its job has ended, if it makes no progress, or if it
-        lasts and its worker leaves.
+        A run is of no use if its job has ended, if it makes no progress, or if
+        its task is a lasting one whose worker leaves.
 
         :param now: Present time, in seconds.
         :param wall: Present time, seconds since 1970.
@@ -142,22 +144,22 @@
                 worker, self._book.durations, now
             )
             if now < worker.slow_until:
-                self._move_stragglers(worker, now)
+                self._stop_stragglers(worker, now)
         return released
 
     def _is_silent(self, worker: workers.WorkerState, now: float) -> bool:
-        """Return whether a worker has not answered this owner for a while."""
+        """Return whether a worker has not answered this owner recently."""
         heard = max(worker.heard, self._book.began)
         return now - heard > self._limits.freshness
 
     def _copy_runs(self, worker: workers.WorkerState, now: float) -> None:
-        """Start second runs of what a silent worker may never end.
+        """Start second runs of tasks on a silent worker.
 
-        Only steps that bear two runs of a task get them.  All others wait for
-        the proof that the first run is over: 4.4 s for the end of its lease,
-        8.4 s after a change of owner, where a task takes 0.6 to 1.7 s.
+        Only steps that allow two runs of a task get them.  All others wait for
+        proof that the first run is over: 4.4 s for the expiry of its lease,
+        8.4 s after a change of owner, while a task takes 0.6 to 1.7 s.
         """
-        # A pool is looked through once for all runs of the worker.
+        # Each pool's members are listed once for all runs of the worker.
         views: dict[str, placement.PoolView] = {}
         for placed in list(worker.runs.values()):
             queue = self._book.queues.get(placed.state.queue)
@@ -182,17 +184,21 @@
             number = state.take_run_number()
             self._book.place(state, task, worker, number, now)
 
-    def _move_stragglers(
+    def _stop_stragglers(
         self, worker: workers.WorkerState, now: float
     ) -> None:
-        """Stop runs on a slow worker that others would end sooner."""
+        """Stop runs on a slow worker that would end sooner elsewhere."""
         for placed in list(worker.runs.values()):
             run = placed.run
             if run.stop_wanted or not speeds.is_comparable(placed):
                 continue
             rest = speeds.estimate_rest(run)
             usual = self._book.speeds.estimate_typical(placed)
-            if rest is None or usual is None or rest < usual + RESTART_S:
+            if (
+                rest is None
+                or usual is None
+                or rest < usual + MIN_RESTART_GAIN_S
+            ):
                 continue
             if not self._has_room_elsewhere(placed, now):
                 continue
@@ -222,7 +228,9 @@
             reason = "its job has ended"
         elif self._is_stalled(worker, placed, now):
             placed.task.avoid.add(worker.identity)
-            worker.suspect_until = max(worker.suspect_until, now + STALL_S)
+            worker.suspect_until = max(
+                worker.suspect_until, now + STALL_TIMEOUT_S
+            )
             reason = "it makes no progress"
         elif self._must_leave(worker, placed, now):
             reason = "its worker leaves"
@@ -240,38 +248,40 @@
         if run.confirmed_at is None or placed.step.gang:
             return False
         if placed.step.lasting:
-            return self._is_late(placed, now)
+            return self._is_start_overdue(placed, now)
         since = max(run.percent_since, run.confirmed_at)
-        return now - since > STALL_S
+        return now - since > STALL_TIMEOUT_S
 
-    def _is_late(self, placed: workers.Placed, now: float) -> bool:
-        """Return whether a lasting task is better started elsewhere."""
+    def _is_start_overdue(self, placed: workers.Placed, now: float) -> bool:
+        """Return whether a lasting task takes too long to become ready."""
         run = placed.run
         waited = now - run.percent_since
         if run.percent >= eviction.READY_PERCENT:
             return False
-        if waited <= LASTING_START_S:
+        if waited <= READY_TIMEOUT_S:
             return False
-        if waited > LASTING_START_MOST_S:
+        if waited > MAX_READY_WAIT_S:
             return True
         return eviction.may_evict(self._book, placed, now)
 
     def _must_leave(
         self, worker: workers.WorkerState, placed: workers.Placed, now: float
     ) -> bool:
-        """Return whether a run is better moved off a worker that will end."""
+        """Return whether a lasting run should move off a leaving worker."""
         if not placed.step.lasting:
             return False
         if worker.entry is not None and worker.entry.draining:
             return True
         if worker.gone_since is None:
             return False
-        # It serves on, but will end as one does that said so.
+        # The worker still serves, but will end like a draining one.
         missing = now - worker.gone_since > self._limits.entry_grace
         return missing and eviction.may_evict(self._book, placed, now)
 
     def list_members(self, pool: str, now: float) -> list[workers.WorkerState]:
-        """Return the workers of a pool that work may be placed on.
+        """Return the workers of a pool on which runs may be placed.
+
+        Slow workers are left out unless they are more than half of the pool.
 
         :param pool: The pool.
         :param now: Present time, in seconds.
@@ -287,7 +297,7 @@
         return members
 
     def list_reserved(self, pool: str) -> Collection[str]:
-        """Return the workers of a pool that one job alone may start on.
+        """Return the workers of a pool that are reserved for single jobs.
 
         :param pool: The pool.
         :return: Their identities.
@@ -307,15 +317,15 @@
         now: float,
     ) -> int:
         planned = self._isolator.plan(view, states, now)
-        # Needs that found no room in this round; greater ones find none
+        # Requests that did not fit in this round; larger ones do not fit
         # either.
-        full: list[fleet.Resources] = []
+        unplaceable: list[fleet.Resources] = []
         for state in states:
             by_step = _group_ready(state, now)
             for (repetition, number), tasks in by_step.items():
                 step = state.job.steps[number]
                 need = fleet.get_resource_request(step)
-                if any(_covers(need, other) for other in full):
+                if any(_needs_at_least(need, other) for other in unplaceable):
                     continue
                 allowed = self._starter.count_allowed(state, step, len(tasks))
                 self.held[state.workspace] += len(tasks) - allowed
@@ -327,13 +337,13 @@
                 )
                 planned += count
                 if count < len(tasks) and self._is_plain(state, step):
-                    full.append(need)
+                    unplaceable.append(need)
         return planned
 
     def _is_plain(
         self, state: progress.JobState, step: definition.Step
     ) -> bool:
-        """Return whether only room decides where a step's tasks may go."""
+        """Return whether free resources alone decide a step's placement."""
         special = step.most_per_worker or step.labels or step.gang
         return not special and self._book.queues[state.queue].admission is None
 
@@ -382,7 +392,7 @@
     ) -> int:
         """Place all members of a gang, or none."""
         if len(tasks) < state.step_of(tasks[0].name).tasks:
-            # Others still run or are being stopped.
+            # Other members still run or are being stopped.
             return 0
         chosen = placement.choose_for_gang(
             view, state, tasks, used, now=now, tickets=tickets
@@ -402,7 +412,8 @@
         if state.job.steps[0].lasting:
             return (float(queue.priority), grade, state.arrived)
         if state.job.repetitions:
-            # Each time counts from when it is due, not from the job's arrival.
+            # A repetition's time counts from when it is due, not from the
+            # job's arrival.
             grade = objectives.Grade.IN_TIME
             first = next(iter(state.waiting)).repetition
             due = first * state.job.interval
@@ -422,13 +433,13 @@
     if placed.state.is_final or task.done or placed.run.stop_wanted:
         return False
     if task.crashes or placed.state.known_time_to_crash:
-        # Each copy could take one more worker with it.
+        # Each copy could crash one more worker.
         return False
     return len(task.runs) == 1
 
 
-def _covers(need: fleet.Resources, other: fleet.Resources) -> bool:
-    """Return whether a need is in all ways at least another one."""
+def _needs_at_least(need: fleet.Resources, other: fleet.Resources) -> bool:
+    """Return whether a request is in all resources at least another one."""
     return need.fits(other)
 
 
--- a/src/rackvalve/scheduling/starter.py
+++ b/src/rackvalve/scheduling/starter.py
@@ -1,4 +1,4 @@
-"""What every start of a task goes through, in whichever order it is chosen."""
+"""Starts tasks within workspace bounds and with admission tickets."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Starter:
-    """Places runs over a book, within bounds and with tickets.
+    """Places the planner's and the isolator's runs in a book.
 
     :param book: The book.
     """
@@ -27,7 +27,7 @@
     def count_allowed(
         self, state: progress.JobState, step: definition.Step, asked: int
     ) -> int:
-        """Return how many tasks a job's workspace may start now.
+        """Return how many tasks the bound of a job's workspace allows now.
 
         :param state: The job.
         :param step: The tasks' step.
@@ -58,7 +58,7 @@
         number: int,
         now: float,
     ) -> None:
-        """Plan a run with the worker's ticket, where it needs one.
+        """Plan a run, with the worker's admission ticket if it needs one.
 
         :param state: The job.
         :param task: The task.
@@ -78,7 +78,7 @@
     repetition: int,
     number: int,
 ) -> collections.Counter[str]:
-    """Count a step's tasks by worker, where their spread matters.
+    """Count a step's runs by worker, if the step limits or spreads them.
 
     :param state: The job.
     :param repetition: Number of the repetition.
