--- a/features/steps/sizing_steps.py
+++ b/features/steps/sizing_steps.py
@@ -114,7 +114,7 @@
 @behave.then("VMs for {part:d} % of what will come in 1.6 s are on their way")
 def check_expected(context, part):
     ordered = len(context.names) + len(context.moves)
-    coming = context.come + part / 100 * context.rate * forecast.LEAD_S
+    coming = context.come + part / 100 * context.rate * forecast.LEAD_TIME_S
     assert abs(ordered - coming) <= 5, (ordered, coming)
 
 
--- a/features/steps/turn_steps.py
+++ b/features/steps/turn_steps.py
@@ -78,7 +78,7 @@
     spares = sum(1 for vm in context.listed if vm.startswith("s"))
     left = spares - len(context.moves) - len(context.orders)
     have = len(context.names) + len(context.moves)
-    needed = context.come + context.rate * forecast.LEAD_S - have
+    needed = context.come + context.rate * forecast.LEAD_TIME_S - have
     assert left >= needed, (left, needed)
 
 
--- a/src/rackvalve/scheduling/demand.py
+++ b/src/rackvalve/scheduling/demand.py
@@ -1,4 +1,4 @@
-"""What the jobs of each pool ask for, in VMs."""
+"""Measures the demand of each pool's jobs, in VMs."""
 
 from __future__ import annotations
 
@@ -8,21 +8,22 @@
 from rackvalve.scheduling import book as books
 from rackvalve.scheduling import fleet
 
-# Jobs that came within this time are counted as new, in seconds: as long as a
-# rise of the demand is measured over.
-NEW_S = 0.5
-# And the latest of them, in seconds: as long as the onset of a turn is
-# measured over (0.2 s), and half the time between two samples.
-ARRIVALS_S = 0.25
+# Jobs that arrived within this time count as new, in seconds; the same as the
+# time over which a rise of the demand is measured.
+NEW_JOB_WINDOW_S = 0.5
+# Jobs that arrived within this time count as arrivals, in seconds: the time
+# over which the onset of a burst is measured (0.2 s), and half the time
+# between two samples.
+ARRIVAL_WINDOW_S = 0.25
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Demand:
-    """What a pool's jobs ask for now, running or waiting.
+    """Demand of a pool's running and waiting jobs.
 
-    :param vms: In all, in VMs.
-    :param largest: By the largest of the jobs that have just come, in VMs.
-    :param arrivals: Jobs that came within :data:`ARRIVALS_S`.
+    :param vms: Demand of all jobs, in VMs.
+    :param largest: Demand of the largest new job, in VMs.
+    :param arrivals: Jobs that arrived within :data:`ARRIVAL_WINDOW_S`.
     """
 
     vms: float
@@ -59,10 +60,10 @@
         if state.waiting:
             waiting = bounds.take(state, _sum_waiting(state))
             needs[pool] = needs.get(pool, fleet.NO_RESOURCES).plus(waiting)
-        if now - state.arrived <= NEW_S:
+        if now - state.arrived <= NEW_JOB_WINDOW_S:
             own = _count_vms(_sum_first_step(state), units.get(pool))
             largest[pool] = max(largest.get(pool, 0.0), own)
-        if now - state.arrived <= ARRIVALS_S:
+        if now - state.arrived <= ARRIVAL_WINDOW_S:
             arrivals[pool] = arrivals.get(pool, 0) + 1
     return {
         pool: Demand(
@@ -75,9 +76,9 @@
 
 
 class _Bounds:
-    """What the bounds of workspaces leave for work that waits.
+    """What the bounds of workspaces leave for waiting tasks.
 
-    Work beyond its workspace's bound asks for no VM: it could not run there.
+    Tasks beyond their workspace's bound need no VM, as they cannot start.
     """
 
     __slots__ = ("_book", "_left")
@@ -87,22 +88,22 @@
         self._left: dict[str, fleet.Resources] = {}
 
     def take(
-        self, state: progress.JobState, room: fleet.Resources
+        self, state: progress.JobState, request: fleet.Resources
     ) -> fleet.Resources:
-        """Return the part of a job's room that may run, and count it."""
+        """Return the part of a job's request that may run, and count it."""
         workspace = self._book.find_workspace(state)
         if workspace is None or workspace.bound == fleet.NO_RESOURCES:
-            return room
+            return request
         left = self._left.get(workspace.name)
         if left is None:
             left = self._book.usage.left(workspace)
-        allowed = room.within(left)
+        allowed = request.within(left)
         self._left[workspace.name] = left.minus(allowed)
         return allowed
 
 
 def _sum_waiting(state: progress.JobState) -> fleet.Resources:
-    """Return the room that the waiting tasks of a job need."""
+    """Return the resources that the waiting tasks of a job need."""
     total = fleet.NO_RESOURCES
     for name in state.waiting:
         total = total.plus(
@@ -112,7 +113,7 @@
 
 
 def _sum_first_step(state: progress.JobState) -> fleet.Resources:
-    """Return the room that all tasks of a job's first step need."""
+    """Return the resources that all tasks of a job's first step need."""
     step = state.job.steps[0]
     need = fleet.get_resource_request(step)
     return fleet.Resources(
@@ -123,5 +124,5 @@
 
 
 def _count_vms(need: fleet.Resources, unit: fleet.Resources | None) -> float:
-    """Return how many VMs a need fills; 0 for a pool without any."""
+    """Return how many VMs a request fills; 0 for a pool without workers."""
     return 0.0 if unit is None else need.count_vms(unit)
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -1,9 +1,9 @@
-"""How many VMs each pool holds: enough for its work, the others are spare.
+"""Decides the size of each pool and which VMs move between pools.
 
-A VM in a pool is paid for, one in the spare pool is not.  Moving one takes
-seconds, so a pool keeps what its recent peak asked for.  It gives up all that
-it has beyond that, and what lies beyond its present need as soon as another
-pool lacks VMs.  Each of these moves once no work is left on it.
+A VM in a pool is paid for, a VM in the spare pool is not.  Moving a VM takes
+seconds, so a pool keeps enough VMs for its recent peak demand.  VMs beyond
+that leave the pool, and VMs beyond its present need leave as soon as another
+pool is short.  A VM moves once no run is left on it.
 """
 
 from __future__ import annotations
@@ -20,20 +20,19 @@
 from rackvalve.scheduling import maintenance as maintenances
 from rackvalve.scheduling import workers
 
-# Room beyond the demand: for uneven packing and work that comes meanwhile.
+# Factor on the demand, for uneven packing and jobs that arrive meanwhile.
 HEADROOM = 1.25
-# Room beyond the demand of a pool that lacks room: demand that grows goes on
-# growing while VMs are on their way.
-GROWTH = 1.5
-# VMs beyond all this: the loss of one is made good without waiting for a move.
+# Factor on the demand of a pool that is short: growing demand goes on growing
+# while VMs are on their way.
+GROWTH_HEADROOM = 1.5
+# VMs added to all of this, so that the loss of one needs no move.
 RESERVE_VMS = 1
-# Least VMs of a pool.
 MIN_POOL_VMS = 3
-# Work that does not last is let end on a VM that is only not needed.
+# Runs that are not lasting may always end on a surplus VM.
 GRACE_S = float("inf")
-# A VM that has just come to a pool stays for this long, in seconds.  One that
-# came too late for a rise is soon free for the next pool: beside 3 s, 1.5 %
-# less of the VMs' seconds in pools and 5 % more moves (20 pairs of plays).
+# A VM that has just come to a pool stays for at least this long, in seconds.
+# A short stay soon frees a VM that came too late for a rise: compared with
+# 3 s, VMs spend 1.5 % less time in pools and move 5 % more often.
 MIN_STAY_S = 1.0
 SURPLUS = "surplus"
 
@@ -51,7 +50,7 @@
 
 
 class PoolSize:
-    """What is known of one pool's demand."""
+    """The demand and the size of one pool."""
 
     __slots__ = (
         "forecast",
@@ -64,35 +63,35 @@
 
     def __init__(self) -> None:
         self.forecast = forecasts.Forecast()
-        # VMs that are vacated to leave the pool.
+        # VMs being vacated to leave the pool.
         self.leaving: set[str] = set()
         self.wanted = 0
         self.have = 0
-        # Least VMs on which each lasting step has a place for all its tasks.
+        # Least number of VMs on which all tasks of each lasting step fit.
         self.spread = 0
-        # VMs that a wave closes at the same time, in a pool with such steps.
+        # VMs that waves close at the same time, in a pool with such steps.
         self.rotating = 0
 
     @property
     def shortage(self) -> int:
-        """How many VMs the pool lacks."""
+        """How many VMs the pool is short of."""
         return max(0, self.wanted - self.have)
 
     @property
     def minimum(self) -> int:
-        """How many VMs the pool keeps whatever its demand is."""
+        """How many VMs the pool keeps, whatever its demand is."""
         if not self.spread:
             return MIN_POOL_VMS
-        # What leaves a VM needs a place that the others do not have.
+        # Tasks that leave a VM need places that the other VMs do not have.
         return max(MIN_POOL_VMS, self.spread + RESERVE_VMS + self.rotating)
 
 
 class Sizer:
-    """Decides over the sizes of all pools.
+    """Decides the sizes of all pools.
 
     :param book: The book.
-    :param maintenance: The waves, whose VMs are left alone.
-    :param silence: Who is out of reach.
+    :param maintenance: The waves, whose VMs are not moved.
+    :param silence: Which workers and halls are silent.
     """
 
     __slots__ = (
@@ -114,13 +113,13 @@
         self._maintenance = maintenance
         self._silence = silence
         self.pools: dict[str, PoolSize] = {}
-        # New pools by VM, until the list shows the VM there.
+        # New pool by VM, until the platform's list shows the VM there.
         self.moving: dict[str, str] = {}
         maintenance.moving = self.moving.keys()
         self.arrived: dict[str, float] = {}
 
     def list_leaving(self) -> set[str]:
-        """Return the VMs that are vacated to leave their pools."""
+        """Return the VMs being vacated to leave their pools."""
         return set().union(*(pool.leaving for pool in self.pools.values()))
 
     def decide(self, now: float) -> list[MoveVm]:
@@ -131,25 +130,25 @@
         spare = self._find_spare_pool()
         if spare is None or not self._maintenance.vms:
             return []
-        self._settle(now)
-        self._count(now)
+        self._forget_finished_moves(now)
+        self._update_sizes(now)
         orders = self._grow_all(spare)
-        lacking = any(size.shortage for size in self.pools.values())
+        is_any_short = any(size.shortage for size in self.pools.values())
         for name, size in self.pools.items():
-            self._shrink(name, size, now, lacking=lacking)
+            self._shrink(name, size, now, is_any_short=is_any_short)
             orders.extend(self._vacate(size, spare, now))
         return orders
 
     @property
     def is_short(self) -> bool:
-        """Whether a pool still lacks VMs after all spare ones were given."""
+        """Whether a pool is short although all spare VMs were given."""
         return any(size.shortage for size in self.pools.values())
 
     def count_reserved(self, now: float) -> int:
         """Return how many VMs the pools will ask for during maintenance.
 
-        A VM that is closed now is missed until it is back; so is each one
-        that a pool needs meanwhile and that a wave has taken before.
+        A VM that is closed now is missing until it is back, and so is each VM
+        that a pool needs meanwhile and that a wave has already taken.
 
         :param now: Present time, in seconds.
         """
@@ -162,8 +161,9 @@
     def find_closures(self) -> dict[str, closures.Closure]:
         """Return the VMs whose workers take no work, and why.
 
-        A worker that has come to its VM's old pool since the move was chosen
-        ends with it; one of the new pool shows that the VM has moved.
+        A worker that starts in its VM's old pool after the move was chosen
+        ends with the move; a worker of the new pool shows that the VM has
+        moved.
         """
         found = {
             vm: closures.Closure(reason=SURPLUS, open_to_pool=pool)
@@ -174,7 +174,7 @@
         return found
 
     def restore(self, vm: str, pool: str) -> None:
-        """Go on with a move that an earlier owner has ordered.
+        """Resume a move that an earlier owner ordered.
 
         :param vm: The VM.
         :param pool: Its new pool.
@@ -182,14 +182,14 @@
         self.moving[vm] = pool
 
     def forget_move(self, vm: str) -> None:
-        """Forget a move that the platform has not taken, or not in time.
+        """Forget a move that the platform did not accept in time or at all.
 
         :param vm: The VM.
         """
         self.moving.pop(vm, None)
 
-    def _begin(self, vm: str, pool: str) -> MoveVm:
-        """Choose a move; from now on the VM's workers take no work."""
+    def _start_move(self, vm: str, pool: str) -> MoveVm:
+        """Start a move; from now on the VM's workers take no work."""
         self.moving[vm] = pool
         for worker in self._maintenance.find_workers(vm):
             worker.closing = SURPLUS
@@ -203,16 +203,16 @@
                 return name
         return None
 
-    def _settle(self, now: float) -> None:
-        """Forget moves that the platform's list shows to be over."""
+    def _forget_finished_moves(self, now: float) -> None:
+        """Forget moves that have ended by the platform's list."""
         for vm, pool in list(self.moving.items()):
             listed = self._maintenance.vms.get(vm)
             if listed is None or _has_arrived(listed, pool):
                 del self.moving[vm]
                 self.arrived[vm] = now
 
-    def _count(self, now: float) -> None:
-        """Count what each pool has and wants."""
+    def _update_sizes(self, now: float) -> None:
+        """Update the present and the wanted size of each pool."""
         measured = demands.measure(self._book, now)
         spreads = maintenances.measure_spreads(self._book)
         for name, pool in self._book.configuration.pools.items():
@@ -231,9 +231,9 @@
             del self.pools[name]
 
     def _count_have(self, name: str, size: PoolSize) -> int:
-        """Count the VMs that work for a pool, or soon will.
+        """Count the VMs that serve a pool, or soon will.
 
-        Those that a wave has closed take no work; others stand in for them.
+        VMs that a wave has closed take no work, so other VMs replace them.
         """
         maintained = self._maintenance.list_leaving()
         coming = sum(1 for pool in self.moving.values() if pool == name)
@@ -251,7 +251,7 @@
     def _is_sound(self, vm: fleet.Vm) -> bool:
         """Return whether a VM works, or is away for a moment only.
 
-        One that is out of reach may be so for long; others stand in for it.
+        A VM that is out of reach may stay so for long, so it is replaced.
         """
         if vm.lost or vm.hall in self._book.evacuated:
             return False
@@ -263,7 +263,7 @@
         return not worker.entry.draining
 
     def _grow_all(self, spare: str) -> list[MoveVm]:
-        """Give spare VMs to the pools that lack most, one at a time."""
+        """Give spare VMs one at a time to the pool with most shortage."""
         orders: list[MoveVm] = []
         for size in self.pools.values():
             while size.shortage and size.leaving:
@@ -271,14 +271,14 @@
                 size.have += 1
         spares = self._list_spares(spare)
         while spares:
-            name = self._find_most_lacking()
+            name = self._find_shortest_pool()
             if name is None:
                 break
-            orders.append(self._begin(spares.pop(0), name))
+            orders.append(self._start_move(spares.pop(0), name))
         return orders
 
-    def _find_most_lacking(self) -> str | None:
-        """Return the pool that lacks most VMs, if one lacks any."""
+    def _find_shortest_pool(self) -> str | None:
+        """Return the pool that is short of most VMs, if any is short."""
         best = max(
             self.pools,
             key=lambda name: self.pools[name].shortage,
@@ -289,7 +289,7 @@
         return best
 
     def _list_spares(self, spare: str) -> list[str]:
-        """Return VMs that may come from the spare pool, best first."""
+        """Return VMs that may leave the spare pool, the best first."""
         leaving = self._maintenance.list_leaving()
         later = self._maintenance.list_pending()
         found = [
@@ -306,11 +306,11 @@
         return found
 
     def _shrink(
-        self, name: str, size: PoolSize, now: float, *, lacking: bool
+        self, name: str, size: PoolSize, now: float, *, is_any_short: bool
     ) -> None:
-        """Let VMs leave that the pool no longer needs."""
-        # What another pool lacks is not kept for a demand of the past.
-        keep = size.wanted if lacking else _count_kept(size)
+        """Choose VMs to leave that the pool no longer needs."""
+        # VMs that another pool is short of are not kept for a past peak.
+        keep = size.wanted if is_any_short else _count_kept(size)
         surplus = size.have - keep
         if surplus <= 0:
             return
@@ -338,7 +338,7 @@
                 continue
             if worker.identity in self._silence.silent_workers:
                 continue
-            # It was not counted, and is of use again once the hall is.
+            # The VM was not counted, and serves again once its hall does.
             if vm.hall in self._book.evacuated:
                 continue
             if now - self.arrived.get(vm.identity, float("-inf")) < MIN_STAY_S:
@@ -350,9 +350,9 @@
         return [vm for _, vm in ranked]
 
     def _vacate(self, size: PoolSize, spare: str, now: float) -> list[MoveVm]:
-        """Vacate VMs that leave a pool; move those on which nothing is left.
+        """Vacate VMs that leave a pool; move those without runs.
 
-        They go to the pool that lacks most, or else to the spare one.
+        They go to the pool that is short of most VMs, or to the spare pool.
         """
         orders = []
         for vm in sorted(size.leaving):
@@ -360,27 +360,29 @@
                 size.leaving.discard(vm)
             elif self._maintenance.vacate(vm, SURPLUS, GRACE_S, now):
                 size.leaving.discard(vm)
-                pool = self._find_most_lacking() or spare
-                orders.append(self._begin(vm, pool))
+                pool = self._find_shortest_pool() or spare
+                orders.append(self._start_move(vm, pool))
         return orders
 
 
 def _has_arrived(vm: fleet.Vm, pool: str) -> bool:
-    """Return whether a VM is in the pool that it moves to, well or lost."""
+    """Return whether a VM is up, or lost, in the pool that it moves to."""
     return vm.pool == pool and (vm.up or vm.lost)
 
 
 def _count_wanted(size: PoolSize, now: float) -> int:
-    """Return how many VMs a pool needs for what it has to do."""
+    """Return how many VMs a pool needs for its demand."""
     wanted = math.ceil(size.forecast.newest * HEADROOM) + RESERVE_VMS
     if size.forecast.newest > size.have - RESERVE_VMS:
-        wanted = math.ceil(size.forecast.newest * GROWTH) + RESERVE_VMS
+        wanted = (
+            math.ceil(size.forecast.newest * GROWTH_HEADROOM) + RESERVE_VMS
+        )
     wanted = max(wanted, math.ceil(size.forecast.predict(now)) + RESERVE_VMS)
     return max(size.minimum, wanted)
 
 
 def _count_kept(size: PoolSize) -> int:
-    """Return how many VMs a pool keeps, so that few move to and fro."""
+    """Return how many VMs a pool keeps to avoid moves to and fro."""
     return max(
         size.wanted, math.ceil(size.forecast.peak() * HEADROOM) + RESERVE_VMS
     )
