--- a/features/steps/upkeep_steps.py
+++ b/features/steps/upkeep_steps.py
@@ -125,7 +125,7 @@
 
 
 def end_long_work(context):
-    """End work that lasts too long for the wave's patience."""
+    """End work that lasts too long for the wave's grace period."""
     bench = context.bench
     for life in context.lives.values():
         worker = bench.book.workers.get(life)
@@ -186,14 +186,14 @@
 
 @behave.when("its VM is to leave for {reason}")
 def vacate(context, reason):
-    patience = {
+    grace = {
         "maintenance": maintenance.GRACE_S,
         "surplus": sizing.GRACE_S,
     }
     eviction.vacate(
         context.bench.book,
         context.bench.book.workers["w1"],
-        patience[reason],
+        grace[reason],
         context.bench.now,
     )
 
--- a/src/rackvalve/scheduling/closures.py
+++ b/src/rackvalve/scheduling/closures.py
@@ -1,7 +1,7 @@
-"""Why workers on some VMs take no work, whichever lives they are.
+"""Keeps which VMs are closed to new runs, for all incarnations of workers.
 
-A VM is ordered to move, or to be maintained, once nothing is left on it, and a
-worker may start on it between that look and the order.
+A VM is ordered to move, or to be maintained, once no run is left on it, and a
+worker may start on it between that check and the order.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Closure:
-    """Why the workers on a VM take no work.
+    """Why the workers on a VM take no new runs.
 
-    :param reason: Why.
+    :param reason: Reason, as stored in the worker's state.
     :param open_to_pool: Pool whose workers still take work there; empty for
         none.
     """
@@ -34,14 +34,14 @@
         self._by_vm: Mapping[str, Closure] = {}
 
     def set(self, by_vm: Mapping[str, Closure]) -> None:
-        """Take which VMs are closed, and no others.
+        """Replace the set of closed VMs.
 
-        :param by_vm: Why, by VM.
+        :param by_vm: Closure by VM.
         """
         self._by_vm = by_vm
 
     def apply(self, worker: workers.WorkerState) -> None:
-        """Let a worker take no work if its VM is closed.
+        """Close a worker if its VM is closed, or reopen it.
 
         :param worker: The worker.
         """
--- a/src/rackvalve/scheduling/eviction.py
+++ b/src/rackvalve/scheduling/eviction.py
@@ -1,7 +1,7 @@
-"""Moving lasting tasks off a worker without taking too many away at once.
+"""Evicts runs from workers within each step's availability budget.
 
-The availability budget of a step: while as many of its tasks as it bears are
-away for any cause, no order ends another one that is at work.
+While as many tasks of a lasting step are unavailable, for whatever cause, as
+the step allows, no order stops another task that is ready.
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 from rackvalve.scheduling import workers
 
 READY_PERCENT = 100
-# A worker that has not answered for longer is taken to be away, in seconds;
+# A worker without an answer for longer than this counts as away, in seconds;
 # holds are answered after half a second at the latest.
 SILENCE_S = 1.0
-# A run that will end within this time is let end, however long it has run
-# (seconds): to start it anew elsewhere takes longer than to wait.
-REST_S = 3.0
+# A run that will end within this time is not stopped, however long it has run,
+# in seconds: a restart elsewhere takes longer than waiting for its end.
+MAX_REST_S = 3.0
 
 
 def is_ready(book: books.Book, task: progress.Task, now: float) -> bool:
-    """Return whether a lasting task is at work, as far as is known.
+    """Return whether a lasting task is ready, as far as known.
 
-    A task on a worker that is silent is taken to be away, and so is one that
-    an earlier owner may just have ordered to stop.
+    A task on a silent worker counts as away, and so does a task that an
+    earlier owner may just have ordered to stop.
 
     :param book: The book.
     :param task: The task.
@@ -53,8 +53,8 @@
     worker = book.workers.get(placed.run.worker)
     if worker is None or now < worker.settled:
         return False
-    # A task that was not at work when its worker last told may be by now, so
-    # its own state does not matter.
+    # The task may have become ready since its worker's last report, so its own
+    # state does not matter.
     name = placed.task.name
     away = sum(
         1
@@ -64,12 +64,12 @@
         and other is not placed.task
         and not is_ready(book, other, now)
     )
-    # A step that names no bound is moved one task at a time all the same.
+    # A step without a limit is still moved one task at a time.
     return away < max(1, placed.step.most_away)
 
 
 def estimate_rest(run: progress.Run, now: float) -> float:
-    """Return how long a run will go on, by its progress, in seconds.
+    """Estimate the remaining time of a run from its progress, in seconds.
 
     :param run: The run.
     :param now: Present time, in seconds.
@@ -82,16 +82,16 @@
 
 
 def vacate(
-    book: books.Book, worker: workers.WorkerState, patience: float, now: float
+    book: books.Book, worker: workers.WorkerState, grace: float, now: float
 ) -> bool:
-    """Stop what has to leave a worker that takes no more work.
+    """Stop the runs that have to leave a closed worker.
 
     :param book: The book.
     :param worker: The worker.
-    :param patience: Tasks that end by themselves are given this long from
-        their start, in seconds.
+    :param grace: Grace period for tasks that are not lasting, in seconds from
+        their start.
     :param now: Present time, in seconds.
-    :return: Whether nothing is left on the worker.
+    :return: Whether no run is left on the worker.
     """
     for placed in list(worker.runs.values()):
         run = placed.run
@@ -101,7 +101,8 @@
             leave = may_evict(book, placed, now)
         else:
             leave = (
-                now - run.since > patience and estimate_rest(run, now) > REST_S
+                now - run.since > grace
+                and estimate_rest(run, now) > MAX_REST_S
             )
         if leave:
             book.stop(placed.state, placed.task, run, "its VM is to leave")
--- a/src/rackvalve/scheduling/maintenance.py
+++ b/src/rackvalve/scheduling/maintenance.py
@@ -1,10 +1,9 @@
-"""Maintenance waves: which VM is closed, vacated and maintained next.
+"""Plans maintenance waves: which VM is closed, vacated and maintained next.
 
-A VM of a wave goes through: open; closed (its worker takes no new work);
-ordered (its worker is empty and the platform was told to maintain it); back.
-An order is given only while fewer VMs than the wave bears are away, and only
-after the store knows of it, so that the next owner goes on where this one
-ends.
+A VM of a wave is first open, then closed (its worker takes no new runs), then
+ordered (its worker is empty and the platform was told to maintain it), then
+back.  An order is given only while fewer VMs are away than the wave allows,
+and only after it is in the store, so that the next owner can resume the wave.
 """
 
 from __future__ import annotations
@@ -18,31 +17,31 @@
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import workers
 
-# Time from the closing of a VM to its return: work that runs ends (2 s),
-# lasting tasks are stopped (1 s), the maintenance itself (2 s).  From the
-# users' sheets; only the number of VMs that are closed at once hangs on it.
+# Time from the closing of a VM to its return, in seconds: runs end (2 s),
+# lasting tasks are stopped (1 s), the maintenance itself (2 s).  Only the
+# number of VMs that are closed at once depends on it.
 CYCLE_S = 5.0
-# Time from the order to maintain a VM until it is seen to be back: 2 s by the
-# users' sheets, up to 0.4 s until the platform's list is read again, 0.6 s
-# margin.  A VM on which nothing runs is away for no longer.
+# Time from the order to maintain a VM until it is listed as back, in seconds:
+# 2 s for the maintenance, up to 0.4 s until the platform's list is read again,
+# 0.6 s margin.  A VM without runs is away for no longer.
 AWAY_S = 3.0
-# Aim to be done after this part of the time that the operator gives.
+# Part of the operator's time within which a wave is planned to end.
 PLANNED_PART = 0.75
-# Part of a pool that may be closed or away at once; and once the wave is late,
-# since a pool that lacks VMs gets others meanwhile.
-POOL_PART = 0.34
-LATE_PART = 0.67
-# Work that does not last is given this long to end by itself, in seconds.
+# Part of a pool that may be closed or away at once, and the part once the wave
+# is late: a pool that is short gets other VMs meanwhile.
+MAX_POOL_PART = 0.34
+MAX_POOL_PART_LATE = 0.67
+# Grace period for runs that are not lasting, in seconds from their start.
 GRACE_S = 5.0
-# A VM that is closed for longer than this goes back into use, in seconds: its
-# pool's work waits, and what keeps it (a lasting task whose step can spare
-# none, a wave whose VMs do not come back) may last.  Longer than work is given
-# to end (5 s), to be stopped (0.9 s), and a VM before it to be away (3 s).
+# A VM that is closed for longer than this is reopened, in seconds: its pool's
+# jobs wait, and its obstacle (a lasting task whose step can spare none, a wave
+# whose VMs do not come back) may persist.  Longer than the grace period (5 s),
+# a stop (0.9 s) and the time that a VM before it is away (3 s) together.
 MAX_CLOSED_S = 10.0
-# Such a VM is not closed again for this long, in seconds: others go first.
-REOPENED_PAUSE_S = 5.0
-# An order that was refused is given again after this pause, in seconds.
-REFUSED_PAUSE_S = 0.5
+# Pause before a reopened VM is closed again, in seconds: others go first.
+REOPENED_DELAY_S = 5.0
+# Pause before a refused order is given again, in seconds.
+REFUSED_DELAY_S = 0.5
 CLOSED = "maintenance"
 
 
@@ -61,8 +60,8 @@
 def measure_spreads(book: books.Book) -> dict[str, int]:
     """Return how many VMs each pool needs to place all lasting tasks.
 
-    A step that bears few of its tasks on one worker needs many workers,
-    however little room its tasks take.
+    A step that limits its tasks per worker needs many workers, however few
+    resources its tasks take.
 
     :param book: The book.
     :return: Number of VMs by pool.
@@ -81,7 +80,7 @@
 
 
 class WaveState:
-    """How far a wave is.
+    """Progress of a wave.
 
     :param wave: The operator's order.
     :param now: Present time, in seconds.
@@ -104,8 +103,8 @@
         self.began = now
         self.closed: set[str] = set()
         self.closed_since: dict[str, float] = {}
-        # VMs whose order may have reached the platform, with its time;
-        # ``None`` until the order was answered.
+        # VMs whose order may have reached the platform, with the time of its
+        # answer; ``None`` until then.
         self.ordered: dict[str, float | None] = {}
         # VMs that were maintained and are back.
         self.done: set[str] = set()
@@ -114,7 +113,7 @@
         self.published = ""
 
     def list_remaining(self) -> list[str]:
-        """Return the VMs that were not ordered yet, in the wave's order."""
+        """Return the VMs without an order so far, in the wave's order."""
         return [
             vm
             for vm in self.wave.vms
@@ -123,7 +122,7 @@
 
 
 class MaintenancePlanner:
-    """Decides over all waves.
+    """Decides which VMs all waves close, vacate and maintain.
 
     :param book: The book whose workers are closed and vacated.
     """
@@ -134,11 +133,11 @@
         self._book = book
         self.waves: dict[int, WaveState] = {}
         self.vms: dict[str, fleet.Vm] = {}
-        # When the reading of that list began.
+        # When the read of the platform's list of VMs began.
         self.read = float("-inf")
-        # VMs that an earlier owner has just given orders to.
+        # VMs that an earlier owner may just have ordered to move or maintain.
         self.held: frozenset[str] = frozenset()
-        # VMs on their way to another pool: the platform maintains none.
+        # VMs on their way to another pool; the platform maintains none.
         self.moving: Collection[str] = frozenset()
 
     @property
@@ -147,7 +146,7 @@
         return any(not state.complete for state in self.waves.values())
 
     def add_wave(self, wave: fleet.Wave, now: float) -> bool:
-        """Take an operator's order.
+        """Add a wave that an operator ordered.
 
         :param wave: The order.
         :param now: Present time, in seconds.
@@ -161,27 +160,27 @@
     def restore(
         self, number: int, ordered: list[str], done: list[str], began: float
     ) -> None:
-        """Go on where an earlier owner has ended.
+        """Resume a wave of an earlier owner.
 
         :param number: Number of the wave.
         :param ordered: VMs whose order may have reached the platform.
         :param done: VMs that are back.
-        :param began: When the wave began, as well as that is known.
+        :param began: When the wave began, as far as known, in seconds.
         """
         state = self.waves.get(number)
         if state is None:
             return
         state.began = min(state.began, began)
         state.done = set(done)
-        # An order is repeated once the VM is empty: the platform knows
-        # whether it was carried out.
+        # An order is repeated once the VM is empty; the platform knows whether
+        # the first one was carried out.
         state.closed = set(ordered) - state.done
 
     def take_list(self, vms: list[fleet.Vm], read: float) -> None:
-        """Take the platform's list of VMs.
+        """Apply the platform's list of VMs.
 
         :param vms: All VMs.
-        :param read: When the reading began, in seconds.
+        :param read: When the read of the list began, in seconds.
         """
         self.vms = {vm.identity: vm for vm in vms}
         self.read = read
@@ -198,10 +197,10 @@
     def decide(
         self, now: float, *, short: bool = False, reserved: int = 0
     ) -> list[MaintainVm]:
-        """Close, vacate, and choose what is to be maintained now.
+        """Close and vacate VMs, and choose the VMs to be maintained now.
 
         :param now: Present time, in seconds.
-        :param short: Whether pools lack VMs that nobody can give them.
+        :param short: Whether a pool is short and no spare VM is left.
         :param reserved: How many spare VMs the pools will ask for before one
             that is closed now is back.
         """
@@ -215,7 +214,7 @@
         return chosen
 
     def note_ordered(self, order: MaintainVm, now: float) -> None:
-        """Note that the platform has taken an order.
+        """Note that the platform has accepted an order.
 
         :param order: The order.
         :param now: Present time, in seconds.
@@ -225,11 +224,11 @@
     def note_refused(
         self, order: MaintainVm, now: float, *, for_good: bool
     ) -> None:
-        """Note that the platform has not taken an order.
+        """Note that the platform has refused an order.
 
         :param order: The order.
         :param now: Present time, in seconds.
-        :param for_good: Whether it never will.
+        :param for_good: Whether it will refuse every repetition as well.
         """
         state = self.waves[order.wave]
         state.ordered.pop(order.vm, None)
@@ -237,7 +236,7 @@
             state.done.add(order.vm)
             state.closed.discard(order.vm)
         else:
-            state.not_before[order.vm] = now + REFUSED_PAUSE_S
+            state.not_before[order.vm] = now + REFUSED_DELAY_S
 
     def find_workers(self, vm: str) -> list[workers.WorkerState]:
         """Return the lives of workers that may be on a VM.
@@ -252,22 +251,20 @@
         named = self._book.names.find(listed.worker) if listed else []
         return found + [worker for worker in named if worker not in found]
 
-    def vacate(
-        self, vm: str, reason: str, patience: float, now: float
-    ) -> bool:
-        """Close a VM and stop what has to leave it.
+    def vacate(self, vm: str, reason: str, grace: float, now: float) -> bool:
+        """Close a VM and stop the runs that have to leave it.
 
         :param vm: The VM.
         :param reason: Why it is closed.
-        :param patience: Tasks that end by themselves are given this long
-            from their start, in seconds.
+        :param grace: Grace period for tasks that are not lasting, in seconds
+            from their start.
         :param now: Present time, in seconds.
-        :return: Whether nothing is left on it.
+        :return: Whether no run is left on it.
         """
         empty = True
         for worker in self.find_workers(vm):
             worker.closing = reason
-            left = eviction.vacate(self._book, worker, patience, now)
+            left = eviction.vacate(self._book, worker, grace, now)
             empty = empty and left
         return empty
 
@@ -290,8 +287,8 @@
     def count_rotating(self, pool: str, now: float) -> int:
         """Return how many VMs of a pool its waves close at the same time.
 
-        A pool that needs a place for each lasting task on VMs of their own
-        gives up none before it has others.
+        A pool whose lasting tasks need VMs of their own gives up none of these
+        before it has others.
 
         :param pool: The pool.
         :param now: Present time, in seconds.
@@ -303,15 +300,15 @@
             left = sum(
                 1 for vm in state.list_remaining() if self._is_in(vm, pool)
             )
-            # As many as it closes at all: four waves over all VMs at once
-            # made a pool keep 6 idle VMs and want 30, while another one's
-            # jobs stood for 9.7 s.
+            # No more than the wave closes: four waves over all VMs at once
+            # made a pool keep 6 idle VMs and ask for 30, while another pool's
+            # jobs were stalled for 9.7 s.
             wanted = math.ceil(left / self._count_rounds(state, now))
             rotating += min(wanted, state.wave.most_away + 1)
         return rotating
 
     def _reopen(self, state: WaveState, now: float) -> None:
-        """Take VMs back into use that could not be maintained for long."""
+        """Reopen VMs that were closed for too long without an order."""
         state.closed_since = {
             vm: state.closed_since.get(vm, now) for vm in state.closed
         }
@@ -320,16 +317,16 @@
             late = now - since > MAX_CLOSED_S or self._is_lost(vm)
             if waits and late:
                 state.closed.discard(vm)
-                state.not_before[vm] = now + REOPENED_PAUSE_S
+                state.not_before[vm] = now + REOPENED_DELAY_S
 
     def _close(
         self, state: WaveState, now: float, *, short: bool, reserved: int
     ) -> None:
-        """Close as many VMs as the time that is left asks for.
+        """Close as many VMs as the remaining time requires.
 
-        Spare ones go as fast as the wave bears, but for those that the pools
-        will ask for meanwhile.  While pools are short, or soon will be, a
-        wave waits that can still be in time.
+        Spare VMs are closed as fast as the wave allows, except those that the
+        pools will ask for meanwhile.  While pools are short, or soon will be,
+        a wave that can still end in time waits.
         """
         left = state.list_remaining()
         wanted = self._count_wanted(state, len(left), now)
@@ -347,10 +344,10 @@
             and not self._is_lost(vm)
             and state.not_before.get(vm, 0.0) <= now
         ]
-        open_vms.sort(key=self._cost)
+        open_vms.sort(key=self._rank_by_cost)
         spreads = measure_spreads(self._book)
         late = now > state.began + PLANNED_PART * state.wave.duration
-        part = LATE_PART if late else POOL_PART
+        part = MAX_POOL_PART_LATE if late else MAX_POOL_PART
         for vm in open_vms:
             busy = len(state.closed) + len(state.ordered.keys() - state.closed)
             spare = self._is_spare(vm)
@@ -364,11 +361,11 @@
 
     def _count_wanted(self, state: WaveState, left: int, now: float) -> int:
         rounds = self._count_rounds(state, now)
-        # One more than can be away is vacated meanwhile.
+        # One VM more than may be away is vacated meanwhile.
         return min(math.ceil(left / rounds) + 1, state.wave.most_away + 1)
 
     def _count_rounds(self, state: WaveState, now: float) -> float:
-        """Return how often the VMs of a round can still follow each other."""
+        """Return how many rounds of VMs still fit in the planned time."""
         time = state.began + PLANNED_PART * state.wave.duration - now
         return max(1.0, time / CYCLE_S)
 
@@ -397,11 +394,11 @@
         )
 
     def _is_free(self, vm: str) -> bool:
-        """Return whether no other order to a VM is under way."""
+        """Return whether a VM has no other order under way."""
         return vm not in self.held and vm not in self.moving
 
     def _is_lost(self, vm: str) -> bool:
-        """Return whether a VM is down, so that nobody can maintain it."""
+        """Return whether a VM is down and cannot be maintained."""
         listed = self.vms.get(vm)
         return listed is not None and listed.lost
 
@@ -415,7 +412,7 @@
         pool = pools.get(listed.pool) if listed is not None else None
         return pool is not None and pool.spare
 
-    def _cost(self, vm: str) -> tuple[bool, int, int]:
+    def _rank_by_cost(self, vm: str) -> tuple[bool, int, int]:
         placed = [
             run
             for worker in self.find_workers(vm)
@@ -441,7 +438,7 @@
             if not other.up or self._is_leaving(other.identity)
         )
         if len(members) - away <= spreads.get(listed.pool, 0):
-            # What leaves the VM would find no place; the pool grows first.
+            # Tasks leaving the VM would find no place; the pool grows first.
             return False
         return away < max(1, int(part * len(members)))
 
@@ -472,8 +469,8 @@
     def _find_away(self, state: WaveState) -> set[str]:
         """Return the VMs of a wave that may be away for it.
 
-        Also those that an earlier owner has ordered, as far as the platform
-        lists them so, or may not list them so yet.
+        These include VMs that an earlier owner ordered, which the platform
+        lists as maintained or may not list as such yet.
         """
         listed = {
             vm
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -91,13 +91,13 @@
 
     :param book: The book.
     :param maintenance: The waves, whose VMs are not moved.
-    :param silence: Which workers and halls are silent.
+    :param detector: Which workers and halls are silent.
     """
 
     __slots__ = (
         "_book",
         "_maintenance",
-        "_silence",
+        "_detector",
         "pools",
         "moving",
         "arrived",
@@ -107,11 +107,11 @@
         self,
         book: books.Book,
         maintenance: maintenances.MaintenancePlanner,
-        silence: failure_detector.FailureDetector,
+        detector: failure_detector.FailureDetector,
     ) -> None:
         self._book = book
         self._maintenance = maintenance
-        self._silence = silence
+        self._detector = detector
         self.pools: dict[str, PoolSize] = {}
         # New pool by VM, until the platform's list shows the VM there.
         self.moving: dict[str, str] = {}
@@ -258,7 +258,7 @@
         worker = self._book.find_present(vm.worker)
         if worker is None or worker.entry is None:
             return not vm.up
-        if worker.identity in self._silence.silent_workers:
+        if worker.identity in self._detector.silent_workers:
             return False
         return not worker.entry.draining
 
@@ -271,13 +271,13 @@
                 size.have += 1
         spares = self._list_spares(spare)
         while spares:
-            name = self._find_shortest_pool()
+            name = self._find_neediest_pool()
             if name is None:
                 break
             orders.append(self._start_move(spares.pop(0), name))
         return orders
 
-    def _find_shortest_pool(self) -> str | None:
+    def _find_neediest_pool(self) -> str | None:
         """Return the pool that is short of most VMs, if any is short."""
         best = max(
             self.pools,
@@ -299,7 +299,7 @@
             and vm.identity not in self.moving
             and vm.identity not in leaving
             and vm.identity not in self._maintenance.held
-            and vm.hall not in self._silence.silent_halls
+            and vm.hall not in self._detector.silent_halls
             and vm.hall not in self._book.evacuated
         ]
         found.sort(key=lambda vm: vm in later)
@@ -336,7 +336,7 @@
                 continue
             if worker is None or worker.entry is None:
                 continue
-            if worker.identity in self._silence.silent_workers:
+            if worker.identity in self._detector.silent_workers:
                 continue
             # The VM was not counted, and serves again once its hall does.
             if vm.hall in self._book.evacuated:
@@ -360,7 +360,7 @@
                 size.leaving.discard(vm)
             elif self._maintenance.vacate(vm, SURPLUS, GRACE_S, now):
                 size.leaving.discard(vm)
-                pool = self._find_shortest_pool() or spare
+                pool = self._find_neediest_pool() or spare
                 orders.append(self._start_move(vm, pool))
         return orders
 
