--- a/src/rackvalve/scheduling/fleet.py
+++ b/src/rackvalve/scheduling/fleet.py
@@ -1,4 +1,4 @@
-"""Workers, their room, and orders of maintenance, as plain values."""
+"""Values for workers' resources and entries, VMs and maintenance waves."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Resources:
-    """What a worker has or a task needs.
+    """Resources that a worker has or a task requests.
 
     :param cpu: Thousandths of a core.
     :param memory: Memory, in MB.
-    :param gpu: Accelerators.
+    :param gpu: Number of GPUs.
     """
 
     cpu: int
@@ -23,9 +23,9 @@
     gpu: int
 
     def fits(self, need: Resources) -> bool:
-        """Return whether a need fits into this room.
+        """Return whether a request fits into these resources.
 
-        :param need: What is needed.
+        :param need: The request.
         """
         return (
             need.cpu <= self.cpu
@@ -34,9 +34,9 @@
         )
 
     def plus(self, other: Resources) -> Resources:
-        """Return the sum of two rooms.
+        """Return the sum of these and other resources.
 
-        :param other: The other one.
+        :param other: The resources to add.
         """
         return Resources(
             cpu=self.cpu + other.cpu,
@@ -45,9 +45,9 @@
         )
 
     def minus(self, other: Resources) -> Resources:
-        """Return what is left without another room.
+        """Return these resources less others.
 
-        :param other: The other one.
+        :param other: The resources to subtract.
         """
         return Resources(
             cpu=self.cpu - other.cpu,
@@ -56,9 +56,9 @@
         )
 
     def within(self, other: Resources) -> Resources:
-        """Return the part of this room that lies within another one.
+        """Return the minimum of these and other resources, for each one.
 
-        :param other: The other one.
+        :param other: The resources to stay within.
         """
         return Resources(
             cpu=min(self.cpu, other.cpu),
@@ -67,9 +67,9 @@
         )
 
     def count_vms(self, unit: Resources) -> float:
-        """Return how many VMs this room fills, by what it takes most of.
+        """Return how many VMs these resources fill, by the scarcest of them.
 
-        :param unit: What a VM has.
+        :param unit: The resources of a VM.
         """
         return max(
             self.cpu / max(1, unit.cpu),
@@ -82,7 +82,7 @@
 
 
 def get_resource_request(step: definition.Step) -> Resources:
-    """Return the room that one task of a step takes.
+    """Return the resources that one task of a step takes on a worker.
 
     :param step: The step.
     """
@@ -93,8 +93,8 @@
 def get_charge(step: definition.Step) -> Resources:
     """Return what one task of a step counts against its workspace's bound.
 
-    Unlike a worker's room, the bound counts the processor of tasks that run
-    on what others leave unused: they use it all the same.
+    Unlike a worker's resources, the bound is also charged with the CPU of
+    tasks that run on leftover CPU, as they do use it.
 
     :param step: The step.
     """
@@ -103,19 +103,19 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Entry:
-    """What one life of a worker says of itself.
+    """Entry that one incarnation of a worker registers in the store.
 
-    :param identity: Identity of the life, as :mod:`lives` makes it.
-    :param pool: The pool that it works for.
-    :param host: IP number.
+    :param identity: Its identity, as :mod:`incarnations` makes it.
+    :param pool: Pool that it serves.
+    :param host: IP address.
     :param port: Port.
-    :param vm: The VM that it lives on.
-    :param rack: The VM's rack.
-    :param hall: The data hall that it says it stands in.
+    :param vm: VM that it runs on.
+    :param rack: Rack of the VM.
+    :param hall: Data hall of the VM, as the worker states it.
     :param labels: All labels.
-    :param capacity: What it has.
+    :param capacity: All its resources.
     :param draining: Whether it will leave.
-    :param remaining: How long it stays at least while it drains, in seconds.
+    :param remaining: Least time that it stays while it drains, in seconds.
     """
 
     identity: str
@@ -132,18 +132,18 @@
 
     @property
     def location(self) -> progress.Location:
-        """Where the worker can be asked, and its VM."""
+        """Address of the worker, and its VM."""
         return progress.Location(host=self.host, port=self.port, vm=self.vm)
 
 
 class Condition(enum.Enum):
-    """What state a VM is in."""
+    """State of a VM."""
 
     UP = "up"
     # On its way to another pool.
     MOVING = "moving"
     MAINTAINED = "maintained"
-    # Off or failed: nothing lives on it.
+    # Off or failed: no worker runs on it.
     DOWN = "down"
 
 
@@ -151,11 +151,11 @@
 class Vm:
     """A VM as the platform lists it.
 
-    :param identity: Its name, which stays with it.
+    :param identity: Its permanent name.
     :param pool: Its pool.
-    :param condition: What state it is in.
-    :param worker: Name of the worker that lives on it, empty for none.
-    :param hall: The data hall that it stands in.
+    :param condition: Its state.
+    :param worker: Name of the worker that runs on it; empty for none.
+    :param hall: The data hall that it is in.
     """
 
     identity: str
--- a/src/rackvalve/scheduling/objectives.py
+++ b/src/rackvalve/scheduling/objectives.py
@@ -1,4 +1,4 @@
-"""Until when a job should end, and whether it still can."""
+"""Computes a job's objective and whether the job can still meet it."""
 
 from __future__ import annotations
 
@@ -8,22 +8,21 @@
 from rackvalve.scheduling import book as books
 from rackvalve.scheduling import queues
 
-# A job past this many times its objective earns nothing more (the users'
-# rules).
-WORTHLESS_AFTER = 3.0
-# A job of which nothing has started for this long goes by its arrival again
-# (seconds), late or not: an accepted job must not stand for 3 s while later
-# ones of its queue start.  It costs 0.004 of a day's worth (20 pairs of plays
-# where turns are beyond the pools, standard error 0.002).
+# A job that takes longer than this many times its objective earns nothing.
+WORTHLESS_RATIO = 3.0
+# A job without a start for this long is ordered like jobs in time, late or
+# not, in seconds: an accepted job must not wait for 3 s while later jobs of
+# its queue start.  This costs 0.004 of a day's value while bursts exceed the
+# pools (standard error 0.002).
 STARVATION_S = 2.0
 
 
 class Grade(enum.IntEnum):
-    """What starting a job now is good for, the best first."""
+    """Value of starting a job now, the best first."""
 
     LASTING = 0
     IN_TIME = 1
-    # It can be in time, but its workspace has sent more than it has paid for.
+    # In time, but beyond the rate that its workspace has paid for.
     BEYOND_RATE = 2
     LATE = 3
     WORTHLESS = 4
@@ -35,7 +34,7 @@
     queue: queues.Queue,
     now: float,
 ) -> Grade:
-    """Return whether a job that ends can still be in time, and its right to.
+    """Grade a job by its objective and its workspace's paid rate.
 
     :param book: The book, for the times of tasks that have ended.
     :param state: The job.
@@ -44,7 +43,7 @@
     """
     objective = estimate_objective(book, state, queue)
     age = now - state.arrived
-    if age > WORTHLESS_AFTER * objective:
+    if age > WORTHLESS_RATIO * objective:
         return Grade.WORTHLESS
     left = estimate_critical_path(book, state, open_only=True)
     if age + left > objective:
@@ -53,9 +52,9 @@
 
 
 def is_starved(state: progress.JobState, now: float) -> bool:
-    """Return whether nothing of a job has started for too long.
+    """Return whether a job has waited too long for its first start.
 
-    What a workspace sent beyond its rate waits for the others all the same.
+    Jobs beyond their workspace's paid rate never count as starved.
 
     :param state: The job.
     :param now: Present time, in seconds.
@@ -82,7 +81,7 @@
 def estimate_critical_path(
     book: books.Book, state: progress.JobState, *, open_only: bool = False
 ) -> float:
-    """Return the time that a job's longest chain of steps takes, in seconds.
+    """Return the duration of a job's critical path of steps, in seconds.
 
     :param book: The book, for the times of tasks that have ended.
     :param state: The job.
--- a/src/rackvalve/scheduling/pacing.py
+++ b/src/rackvalve/scheduling/pacing.py
@@ -1,8 +1,8 @@
-"""Tasks that share a worker: serving ones come first, filling ones yield.
+"""Paces tasks that run on the leftover resources of a worker.
 
-A task that fills uses what others leave, and slows a serving task beside it.
-Its pace is lowered when the tail of a serving task nears its limit, quickly
-and far when it is over, and raised step by step once there is room again.
+Such a filling task slows down a serving task beside it.  Its pace is lowered
+when the tail latency of a serving task nears its limit, set to 0 when the tail
+is well over the limit, and raised step by step once there is headroom again.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from rackvalve.scheduling import workers
 
 FULL_PACE = 100
-# Share of the tail limit above which filling tasks yield.  The figure that a
-# worker tells is rough and half a second old.
-YIELD_AT = 0.85
-# Share of the limit above which they stop at once.
-STOP_AT = 1.1
-# Share of the limit below which they go faster again.
+# Share of the tail limit above which filling tasks slow down.  The figure that
+# a worker reports is rough and half a second old.
+LOWER_ABOVE = 0.85
+# Share of the tail limit above which filling tasks stop at once.
+STOP_ABOVE = 1.1
+# Share of the tail limit below which filling tasks speed up again.
 RAISE_BELOW = 0.65
-# Steps of the pace, in percent.  A report comes twice a second, so that four
-# of them pass within the time that a serving task may be over its limit.
+# Steps of the pace, in percent.  Reports come twice a second, so four of them
+# come within the time that a serving task may be over its limit.
 LOWER_STEP = 50
 RAISE_STEP = 20
 
@@ -28,11 +28,12 @@
 def set_paces(
     worker: workers.WorkerState, now: float, interval: float
 ) -> list[messages.SetPace]:
-    """Decide the paces of the filling tasks on a worker.
+    """Set the paces of the filling tasks on a worker.
 
     :param worker: The worker, just after its report.
     :param now: Present time, in seconds.
     :param interval: Least time between two changes of a pace, in seconds.
+    :return: The changed paces, to be sent to the worker.
     """
     fillers = [
         placed
@@ -62,7 +63,7 @@
 
 
 def _measure_pressure(worker: workers.WorkerState) -> float:
-    """Return the worst tail on a worker, as a share of its limit."""
+    """Return the worst tail latency on a worker, as a share of its limit."""
     return max(
         (
             placed.run.load / 1000 / placed.step.tail_limit
@@ -76,12 +77,12 @@
 def _choose_pace(known: int | None, pressure: float) -> int:
     pace = known
     if pace is None:
-        # What it was is not known; not fast beside a tail near its limit.
+        # The present pace is unknown; start low beside a tail near its limit.
         is_near = pressure >= RAISE_BELOW
         pace = FULL_PACE - LOWER_STEP if is_near else FULL_PACE
-    if pressure > STOP_AT:
+    if pressure > STOP_ABOVE:
         return 0
-    if pressure > YIELD_AT:
+    if pressure > LOWER_ABOVE:
         return max(0, pace - LOWER_STEP)
     if pressure < RAISE_BELOW:
         return min(FULL_PACE, pace + RAISE_STEP)
--- a/src/rackvalve/scheduling/queues.py
+++ b/src/rackvalve/scheduling/queues.py
@@ -9,11 +9,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class AdmissionLimits:
-    """Bounds of the service that admits workers to a queue's steps.
+    """Limits of the service that admits workers to a queue's steps.
 
     :param decide_time: Time that one call takes, in seconds.
-    :param worker_time: Time that each named worker adds, in seconds.
-    :param valid: How long an admission holds, in seconds.
+    :param worker_time: Time that each worker in the call adds, in seconds.
+    :param valid: How long an admission is valid, in seconds.
     """
 
     decide_time: float
@@ -23,19 +23,19 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Queue:
-    """Jobs of one kind.
+    """Settings for jobs of one kind.
 
     :param name: Its name.
     :param host: Host name by which callers reach it.
     :param prefix: Path by which callers reach it.
     :param pool: Pool whose workers run its tasks.
-    :param priority: Importance; 0 comes first.
+    :param priority: Priority; 0 comes first.
     :param attempts: Failed runs of a task after which its job has failed.
-    :param stretch: Longest time to the end that callers accept, in times of
-        the longest chain of work.
-    :param allowance: Time that is accepted on top, in seconds.
-    :param admission: Bounds of the admission service, ``None`` without one.
-    :param needs_key: Whether callers have to show a workspace's key.
+    :param stretch: Longest duration of a job that callers accept, as a
+        multiple of its critical path.
+    :param allowance: Time that callers accept on top, in seconds.
+    :param admission: Limits of the admission service; ``None`` without one.
+    :param needs_key: Whether callers have to present a workspace's key.
     """
 
     name: str
@@ -52,10 +52,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Pool:
-    """VMs that run the same queues.
+    """VMs that serve the same queues.
 
     :param name: Its name.
-    :param spare: Whether its VMs are off and wait for another pool.
+    :param spare: Whether its VMs are off until another pool needs them.
     """
 
     name: str
@@ -64,13 +64,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Configuration:
-    """Everything that the operator decides.
+    """The operator's configuration.
 
-    :param version: Rises with each change.
+    :param version: Number that rises with each change.
     :param queues: All queues.
     :param pools: All pools, by name.
     :param body_limit: Largest body of a caller's request, in bytes.
-    :param workspaces: All workspaces and whose each key is.
+    :param workspaces: All workspaces and their keys.
     """
 
     version: int
@@ -80,7 +80,7 @@
     workspaces: directories.Directory = dataclasses.field(
         repr=False, compare=False, default_factory=directories.Directory
     )
-    # Queues by host and prefix, and by name: there may be thousands.
+    # Index of the queues, of which there may be thousands.
     _by_prefix: dict[str, dict[str, Queue]] = dataclasses.field(
         init=False, repr=False, compare=False, default_factory=dict
     )
@@ -96,9 +96,9 @@
             self._by_name.setdefault(queue.name, queue)
 
     def find_queue(self, host: str, path: str) -> Queue | None:
-        """Return the queue with the longest prefix of a path.
+        """Return the queue whose prefix of a path is longest.
 
-        :param host: Host name that the caller gave.
+        :param host: Host name of the request.
         :param path: Path of the request.
         """
         prefixes = self._by_prefix.get(host)
--- a/src/rackvalve/scheduling/speeds.py
+++ b/src/rackvalve/scheduling/speeds.py
@@ -1,11 +1,11 @@
-"""How fast runs get on, and which workers are slow.
+"""Measures the speed of runs and detects slow workers (stragglers).
 
-Tasks of one step are alike, so a run is held against those of its step that
-run, or ran, on other workers.  Declared times are guesses, and tasks of one
-queue differ too much to tell a slow worker from a large task.
+Tasks of one step are alike, so a run is compared with the runs of its step on
+other workers.  Declared times are guesses, and tasks of one queue differ too
+much to tell a slow worker from a large task.
 
-With 2 of 30 VMs six times as slow for 7 s this buys 0.04 of an emulated day's
-worth (24 days); plays, where one VM is slow at a time, show no difference.
+With 2 of 30 VMs six times as slow for 7 s this gains 0.04 of the value of an
+emulated day (24 days); with one slow VM at a time it makes no difference.
 """
 
 from __future__ import annotations
@@ -15,28 +15,28 @@
 from rackvalve.jobs import progress
 from rackvalve.scheduling import workers
 
-# Speed is measured over at least this time, in seconds: progress is told in
-# whole percent, and a second's task moves by one in 0.01 s.
+# Speed is measured over at least this time, in seconds: progress is reported
+# in whole percent, and a task of one second gains one percent in 0.01 s.
 SAMPLE_S = 0.3
 # A worker is slow if its runs take more than this many times as long as those
-# beside them; with a single run to go by, more than the second figure.  Tasks
-# of a step differ by 1.35 at one standard deviation (the users' sheets).
-SLOW_FROM = 2.5
-SLOW_FROM_ALONE = 3.0
-# So many tasks of its step, at least, a run is held against.
-COMPARED = 3
-# A slow worker gets nothing for this long, in seconds, while others have room;
-# after that it is tried again.
+# of other workers; the second figure holds if a single run can be compared.
+# Tasks of a step differ by a factor of 1.35 at one standard deviation.
+SLOW_RATIO = 2.5
+SLOW_RATIO_SINGLE_RUN = 3.0
+# Least number of tasks of its step that a run is compared with.
+MIN_COMPARED_TASKS = 3
+# A slow worker gets no runs for this long, in seconds, unless most workers are
+# slow; after that it is tried again.
 SLOW_S = 2.0
-# Times of ended tasks that are kept of each step.
-KEPT = 8
+# Number of durations of ended tasks kept for each step.
+KEPT_DURATIONS = 8
 
 # Repetition and step.
 StepKey = tuple[int, int]
 
 
 def update_rate(run: progress.Run, now: float) -> None:
-    """Measure a run's speed by its newest progress.
+    """Update a run's speed from its newest progress.
 
     :param run: The run, just after a report.
     :param now: Present time, in seconds.
@@ -54,7 +54,7 @@
 
 
 def estimate_total(run: progress.Run) -> float | None:
-    """Return how long a run takes from its beginning at its speed, in seconds.
+    """Return how long a run takes in all at its speed, in seconds.
 
     :param run: The run.
     :return: ``None`` while its speed is not known.
@@ -65,7 +65,7 @@
 
 
 def estimate_rest(run: progress.Run) -> float | None:
-    """Return how long a run goes on at its speed, in seconds.
+    """Return the remaining time of a run at its speed, in seconds.
 
     :param run: The run.
     :return: ``None`` while its speed is not known.
@@ -75,27 +75,27 @@
 
 
 class Speeds:
-    """Times of tasks by step, and what they say of workers."""
+    """Durations of tasks by step, and which workers are slow by them."""
 
     __slots__ = ("_done",)
 
     def __init__(self) -> None:
-        # Times of ended tasks with their workers, in seconds, by job.
+        # Worker and duration in seconds of ended tasks, by job and step.
         self._done: dict[str, dict[StepKey, list[tuple[str, float]]]] = {}
 
     def record_duration(self, placed: workers.Placed, taken: float) -> None:
-        """Note how long a task has taken.
+        """Record how long a task has taken.
 
         :param placed: Its run.
-        :param taken: The time, in seconds.
+        :param taken: The duration, in seconds.
         """
         steps = self._done.setdefault(placed.state.identity, {})
         times = steps.setdefault(_key_of(placed), [])
         times.append((placed.run.worker, taken))
-        del times[:-KEPT]
+        del times[:-KEPT_DURATIONS]
 
     def forget(self, state: progress.JobState) -> None:
-        """Forget the times of a job that has ended.
+        """Forget the durations of a job that has ended.
 
         :param state: The job.
         """
@@ -118,7 +118,11 @@
                 total = estimate_total(run) if run.worker != own else None
                 if total is not None:
                     times.append(total)
-        return statistics.median(times) if len(times) >= COMPARED else None
+        return (
+            statistics.median(times)
+            if len(times) >= MIN_COMPARED_TASKS
+            else None
+        )
 
     def detect_slowness(
         self,
@@ -126,7 +130,7 @@
         durations: dict[str, float],
         now: float,
     ) -> None:
-        """Find out whether a worker is slow now.
+        """Update whether a worker is slow, and by how much.
 
         :param worker: The worker.
         :param durations: Mean time of a task by queue, in seconds.
@@ -138,7 +142,7 @@
         ratios = self._compare(worker, durations)
         if ratios:
             ratio = statistics.median(ratios)
-            limit = SLOW_FROM if len(ratios) > 1 else SLOW_FROM_ALONE
+            limit = SLOW_RATIO if len(ratios) > 1 else SLOW_RATIO_SINGLE_RUN
             if ratio > limit:
                 worker.slowness = ratio
                 worker.slow_until = now + SLOW_S
@@ -148,14 +152,14 @@
     def _compare(
         self, worker: workers.WorkerState, durations: dict[str, float]
     ) -> list[float]:
-        """Return how many times as long as elsewhere each run takes."""
+        """Return the ratio of each run's duration to that elsewhere."""
         ratios: list[float] = []
         for placed in worker.runs.values():
             total = estimate_total(placed.run)
             if total is None or not is_comparable(placed):
                 continue
             if total <= durations.get(placed.state.queue, 0.0):
-                # Quicker than most of its queue: not worth a closer look.
+                # Faster than the mean of its queue: no comparison needed.
                 ratios.append(1.0)
                 continue
             usual = self.estimate_typical(placed)
@@ -165,9 +169,9 @@
 
 
 def is_comparable(placed: workers.Placed) -> bool:
-    """Return whether a run's speed tells of its worker.
+    """Return whether a run's speed depends on its worker alone.
 
-    A task that was moved before, for whatever reason, may be slow by itself.
+    A task that was moved before, for whatever reason, may itself be slow.
 
     :param placed: The run.
     """
