--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -95,7 +95,7 @@
 
     def raise_token(self, worker: workers.WorkerState) -> None:
         """Show a life a greater token if the worker has lived before."""
-        others = self.book.names.find(worker.life.worker)
+        others = self.book.workers_by_name.find(worker.life.worker)
         if self.rules.raised and len(others) > 1:
             self.tokens.raise_for(worker, self.committed_revision)
 
@@ -110,7 +110,7 @@
     def leave_hold(self, identity: str):
         """Return a hold that is carried out later, with the worker's name."""
         name = incarnations.parse_incarnation(identity).worker
-        seen = self.book.workers[identity].acknowledged(self.durable)
+        seen = self.book.workers[identity].find_acknowledged(self.durable)
         token = self.tokens.find(self.book.workers[identity])
         now = self.world.now
         return name, lambda life: life.hold(token, seen, None, now)
@@ -143,7 +143,7 @@
                 self.world.completed.add(identity)
             elif state.phase is progress.Phase.FAILED:
                 self.world.check_given_up(identity)
-            self.book.take_recorded(identity, planned, self.world.now)
+            self.book.order_recorded(identity, planned, self.world.now)
         self.book.changed.clear()
         self.durable = self.writes
 
@@ -160,7 +160,7 @@
             for identity in list(self.book.changed):
                 state = self.book.jobs[identity]
                 planned = state.list_planned()
-                self.book.take_recorded(identity, planned, self.world.now)
+                self.book.order_recorded(identity, planned, self.world.now)
 
     def list_vms(self, lag: float) -> None:
         self.listed = (self.platform.read(lag), self.world.now)
@@ -197,7 +197,7 @@
         if life is None:
             vm = worker.location.vm
             if reachable and self.platform.is_replaced(vm, name):
-                endings.end_life(
+                endings.end_incarnation(
                     self.book,
                     identity,
                     "another life answers",
@@ -214,7 +214,7 @@
                     self.raise_token(later)
             return
         until = None
-        fresh = self.world.now - worker.answered < 1.0
+        fresh = self.world.now - worker.last_alive_at < 1.0
         extend = self.world.now - self.heard <= timing.EXTENSION_LIMIT_S
         if fresh and extend:
             until = self.lease_until(identity)
@@ -223,7 +223,7 @@
         if not reachable or not life.answers:
             return
         if self.rules.acknowledge:
-            seen = worker.acknowledged(self.durable)
+            seen = worker.find_acknowledged(self.durable)
         else:
             seen = worker.handled
         token = self.tokens.find(worker)
@@ -242,7 +242,7 @@
                 identity, worker_clock.WorkerClock()
             )
             known.note(clock, self.world.now)
-            self.handler.take(
+            self.handler.apply(
                 worker, report, now=self.world.now, wall=self.world.now
             )
             self.writes += 1
@@ -268,7 +268,7 @@
             if lose_answer:
                 return False
             if taken:
-                self.book.take_stop(
+                self.book.confirm_stop(
                     order.worker, (order.task, order.run), self.world.now
                 )
             else:
@@ -276,7 +276,9 @@
             return True
         return self.deliver_start(order, life, lose_answer)
 
-    def find_wanted(self, order: messages.StartRun) -> workers.Placed | None:
+    def find_wanted(
+        self, order: messages.StartRun
+    ) -> workers.PlacedRun | None:
         """Return the run of an order to start; ``None`` if it is over."""
         full = f"{order.job}.{order.task}"
         worker = self.book.workers.get(order.worker)
@@ -304,7 +306,7 @@
         if result is None:
             self.note_refused(worker)
             return self.deposed
-        self.book.take_start(
+        self.book.apply_start_result(
             placed,
             result,
             uncertain=key in self.uncertain,
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -116,7 +116,7 @@
         assert task.done and not task.runs
     else:
         (run,) = task.runs.values()
-        present = context.bench.book.find_present("w1").identity
+        present = context.bench.book.find_current("w1").identity
         assert run.worker in (present, EARLIER), run.worker
         worker = context.bench.book.workers[run.worker]
         assert worker.established and len(worker.runs) == 1
@@ -126,7 +126,7 @@
 def check_forgotten(context):
     bench = context.bench
     assert list(bench.book.workers) == [LATER]
-    assert bench.book.names.find("w1") == [bench.book.workers[LATER]]
+    assert bench.book.workers_by_name.find("w1") == [bench.book.workers[LATER]]
     (release,) = bench.handler.released
     assert release.worker == EARLIER
 
@@ -171,8 +171,8 @@
 def spoil_worker(context):
     bench = context.bench = benches.Bench([EARLIER])
     worker = bench.book.workers[EARLIER]
-    worker.closing = "it is closed"
-    worker.suspect_until = bench.now + 100.0
+    worker.close_reason = "it is closed"
+    worker.backoff_until = bench.now + 100.0
     worker.failures = 5
     worker.slowness = 4.0
     worker.ordered_away = True
@@ -191,8 +191,8 @@
     found = bench.book.workers[LATER]
     other = benches.Bench([LATER]).book.workers[LATER]
     for field in (
-        "closing",
-        "suspect_until",
+        "close_reason",
+        "backoff_until",
         "failures",
         "slowness",
         "ordered_away",
@@ -227,7 +227,7 @@
     bench.add(definition.Step(tasks=1, cpu=1))
     bench.numbers[LATER] = 0
     take_list(context, "w1")
-    bench.handler.take(
+    bench.handler.apply(
         bench.book.workers[LATER],
         messages.Report(
             sent=bench.now, running=(), ended=(), clock=float(age)
@@ -256,8 +256,8 @@
 @behave.then("its life is {proved}")
 def check_proved(context, proved):
     worker = context.bench.book.workers[LATER]
-    is_over = worker.lease_over == float("-inf")
-    assert is_over == (proved == "proved over"), worker.lease_over
+    is_over = worker.lease_expiry == float("-inf")
+    assert is_over == (proved == "proved over"), worker.lease_expiry
 
 
 @behave.given("an entry and a list whose birth is {told}")
@@ -300,7 +300,7 @@
         durable=0, fences=fencing_tokens.FencingTokens(7)
     )
     if whose == "it itself":
-        later = bench.book.add_life(LATER)
+        later = bench.book.add_incarnation(LATER)
         context.owner.fences.raise_for(later, 9)
     client = mock.Mock()
     client.hold.return_value = clients.Rejected(
--- a/features/steps/upkeep_steps.py
+++ b/features/steps/upkeep_steps.py
@@ -112,7 +112,7 @@
     bench, care = context.bench, context.maintenance
     for worker in bench.book.workers.values():
         vm = worker.entry.vm
-        worker.closing = (
+        worker.close_reason = (
             maintenance.CLOSED if vm in care.list_leaving() else ""
         )
     care.take_list(
@@ -246,7 +246,7 @@
     for _ in range(600):
         bench.now += 0.1
         for worker in bench.book.workers.values():
-            worker.answered = bench.now
+            worker.last_alive_at = bench.now
         assert not context.maintenance.decide(bench.now) and not bench.stops()
         leaving = context.maintenance.list_leaving()
         context.ever |= leaving
--- a/src/rackvalve/manager/caretaker.py
+++ b/src/rackvalve/manager/caretaker.py
@@ -205,7 +205,7 @@
             if now >= until:
                 del self._held[vm]
                 self._uncertain.discard(vm)
-                for worker in self._book.lives.find(vm):
+                for worker in self._book.workers_by_vm.find(vm):
                     worker.ordered_away = False
                 # Where the list does not show its move, there was none.
                 self._sizing.forget_move(vm)
@@ -284,7 +284,7 @@
         for worker in self._book.workers.values():
             self._book.closures.apply(worker)
             vm = worker.entry.vm if worker.entry is not None else ""
-            worker.leaves_later = vm in later
+            worker.maintenance_pending = vm in later
 
     def _log_sizes(self, now: float) -> None:
         if now - self._sizes_logged < timing.SIZES_LOG_INTERVAL_S:
@@ -352,7 +352,7 @@
         :param vm: The VM.
         :return: The lives.
         """
-        lives = self._book.lives.find(vm)
+        lives = self._book.workers_by_vm.find(vm)
         for worker in lives:
             worker.ordered_away = True
         return lives
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -230,7 +230,7 @@
         if self.deposed:
             return
         first = not worker.established
-        self._handler.take(worker, report, now=now, wall=clocks.read_wall())
+        self._handler.apply(worker, report, now=now, wall=clocks.read_wall())
         self._forget_lives()
         if first:
             logs.write_event(
@@ -251,7 +251,7 @@
 
     def take_start(
         self,
-        placed: workers.Placed,
+        placed: workers.PlacedRun,
         result: messages.StartResult,
         uncertain: bool,
     ) -> None:
@@ -274,7 +274,7 @@
                 reason=result.value,
                 uncertain=uncertain,
             )
-        self._book.take_start(
+        self._book.apply_start_result(
             placed, result, uncertain=uncertain, now=clocks.read_steady()
         )
         self._reporter.log_begun()
@@ -286,7 +286,7 @@
         :param worker: Identity of the worker.
         :param key: Full name of the task and number of the run.
         """
-        self._book.take_stop(worker, key, clocks.read_steady())
+        self._book.confirm_stop(worker, key, clocks.read_steady())
 
     def _forget_lives(self) -> None:
         """Have nothing more to do with lives that later ones have ended."""
@@ -452,7 +452,7 @@
                 self._check(now)
             self._planner.plan(now, clocks.read_wall())
             # Room that is free before a plan is not free after it.
-            self._reporter.log_standing(now)
+            self._reporter.log_stalls(now)
             self._recorder.mark_changed()
             self._send_orders()
 
@@ -464,7 +464,7 @@
         wall = clocks.read_wall()
         for release in self._planner.stop_and_release(now, wall):
             self._reporter.log_release(release)
-        self._reporter.log_held(now)
+        self._reporter.log_bounds(now)
         self._roster.forget_gone(now)
         self._recorder.publish_waiting(now, wall, self._jobs.confirmed_at)
         self._recorder.collect(now, wall)
--- a/src/rackvalve/manager/roster.py
+++ b/src/rackvalve/manager/roster.py
@@ -126,7 +126,7 @@
                 reason=reason,
                 runs=len(worker.runs),
             )
-        release = endings.end_life(
+        release = endings.end_incarnation(
             self._book,
             identity,
             reason,
@@ -176,12 +176,12 @@
         :param now: Present time, in seconds.
         """
         for identity, worker in list(self._book.workers.items()):
-            if worker.runs or not worker.is_over(now):
+            if worker.runs or not worker.is_expired(now):
                 continue
             is_missing = (
-                worker.gone_since is not None
-                and now - worker.gone_since > timing.ENTRY_GRACE_S
-                and now - worker.answered > timing.ENTRY_GRACE_S
+                worker.entry_missing_since is not None
+                and now - worker.entry_missing_since > timing.ENTRY_GRACE_S
+                and now - worker.last_alive_at > timing.ENTRY_GRACE_S
             )
             if worker.entry is None or worker.replaced or is_missing:
                 self.end_life(identity, "its entry is gone, it is silent")
@@ -199,8 +199,8 @@
                 continue
             if identity in self._contacts:
                 continue
-            if worker.gone_since is None:
-                worker.gone_since = now
+            if worker.entry_missing_since is None:
+                worker.entry_missing_since = now
             logs.write_event(
                 "worker.recorded",
                 worker=identity,
@@ -223,7 +223,7 @@
             worker.identity,
             timeout=timing.ORDER_TIMEOUT_S,
         )
-        if len(self._book.names.find(worker.life.worker)) > 1:
+        if len(self._book.workers_by_name.find(worker.life.worker)) > 1:
             # Calls to the lives before do nothing at this one.
             self._owner.fences.raise_for(
                 worker, self._owner.committed_revision
--- a/src/rackvalve/scheduling/eviction.py
+++ b/src/rackvalve/scheduling/eviction.py
@@ -33,8 +33,8 @@
         worker = book.workers.get(run.worker)
         if (
             worker is not None
-            and now - worker.answered <= SILENCE_S
-            and now >= worker.settled
+            and now - worker.last_alive_at <= SILENCE_S
+            and now >= worker.inherited_stops_end
             and run.stage is progress.Stage.CONFIRMED
             and run.percent >= READY_PERCENT
             and not run.stop_wanted
@@ -43,7 +43,7 @@
     return False
 
 
-def may_evict(book: books.Book, placed: workers.Placed, now: float) -> bool:
+def may_evict(book: books.Book, placed: workers.PlacedRun, now: float) -> bool:
     """Return whether a lasting task may be stopped and started elsewhere.
 
     :param book: The book.
@@ -51,7 +51,7 @@
     :param now: Present time, in seconds.
     """
     worker = book.workers.get(placed.run.worker)
-    if worker is None or now < worker.settled:
+    if worker is None or now < worker.inherited_stops_end:
         return False
     # The task may have become ready since its worker's last report, so its own
     # state does not matter.
--- a/src/rackvalve/scheduling/failure_detector.py
+++ b/src/rackvalve/scheduling/failure_detector.py
@@ -116,11 +116,11 @@
 
     def _last_heard(self, worker: workers.WorkerState) -> float:
         """Return when a worker has answered last, or was first seen."""
-        return max(worker.heard, self._since[worker.identity])
+        return max(worker.last_answer_at, self._since[worker.identity])
 
     def _last_sign(self, worker: workers.WorkerState) -> float:
         """Return the last time that an answer, or its entry, tells of."""
-        return max(worker.answered, self._since[worker.identity])
+        return max(worker.last_alive_at, self._since[worker.identity])
 
     def _release(self, worker: workers.WorkerState) -> bool:
         """Let the lease of a worker be over if the lists prove its life over.
@@ -131,7 +131,7 @@
         alive = self._last_sign(worker)
         vm = worker.location.vm
         if not self._listings.prove_over(
-            worker.life.worker, vm, began=worker.began, alive=alive
+            worker.life.worker, vm, began=worker.earliest_start, alive=alive
         ):
             return False
         worker.note_lost()
--- a/src/rackvalve/scheduling/releases.py
+++ b/src/rackvalve/scheduling/releases.py
@@ -97,7 +97,7 @@
 
     :param worker: The worker.
     """
-    return LISTED_OFF if worker.lease_over == float("-inf") else LEASE_OVER
+    return LISTED_OFF if worker.lease_expiry == float("-inf") else LEASE_OVER
 
 
 def determine_fate(worker: workers.WorkerState, proof: str) -> Fate:
@@ -110,7 +110,7 @@
         return Fate.ORDERED_AWAY
     if proof == LEASE_OVER:
         return Fate.OUT_OF_REACH
-    gone = worker.gone_since
-    served_on = gone is not None and worker.answered > gone
+    gone = worker.entry_missing_since
+    served_on = gone is not None and worker.last_alive_at > gone
     said_so = worker.entry is not None and worker.entry.draining
     return Fate.LEFT if said_so or served_on else Fate.CRASHED
--- a/src/rackvalve/scheduling/speeds.py
+++ b/src/rackvalve/scheduling/speeds.py
@@ -83,7 +83,7 @@
         # Worker and duration in seconds of ended tasks, by job and step.
         self._done: dict[str, dict[StepKey, list[tuple[str, float]]]] = {}
 
-    def record_duration(self, placed: workers.Placed, taken: float) -> None:
+    def record_duration(self, placed: workers.PlacedRun, taken: float) -> None:
         """Record how long a task has taken.
 
         :param placed: Its run.
@@ -101,7 +101,7 @@
         """
         self._done.pop(state.identity, None)
 
-    def estimate_typical(self, placed: workers.Placed) -> float | None:
+    def estimate_typical(self, placed: workers.PlacedRun) -> float | None:
         """Return how long a run's task takes on other workers, in seconds.
 
         :param placed: The run.
@@ -136,9 +136,9 @@
         :param durations: Mean time of a task by queue, in seconds.
         :param now: Present time, in seconds.
         """
-        if now - worker.judged < SAMPLE_S:
+        if now - worker.speed_checked_at < SAMPLE_S:
             return
-        worker.judged = now
+        worker.speed_checked_at = now
         ratios = self._compare(worker, durations)
         if ratios:
             ratio = statistics.median(ratios)
@@ -168,7 +168,7 @@
         return ratios
 
 
-def is_comparable(placed: workers.Placed) -> bool:
+def is_comparable(placed: workers.PlacedRun) -> bool:
     """Return whether a run's speed depends on its worker alone.
 
     A task that was moved before, for whatever reason, may itself be slow.
@@ -186,6 +186,6 @@
     )
 
 
-def _key_of(placed: workers.Placed) -> StepKey:
+def _key_of(placed: workers.PlacedRun) -> StepKey:
     name = placed.task.name
     return name.repetition, name.step
