--- a/features/steps/currency_steps.py
+++ b/features/steps/currency_steps.py
@@ -76,7 +76,7 @@
 @behave.given("a store that has been silent for {age:f} s")
 def silence(context, age):
     context.store.silent = True
-    context.view._heard = time.monotonic() - age
+    context.view._last_contact = time.monotonic() - age
 
 
 def ask(context, count, prefix):
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -197,8 +197,8 @@
     state = bench.book.jobs[benches.IDENTITY]
     advice = queues.Advice(decide_time=0.1, worker_time=0.01, valid=1.0)
     with mock.patch.object(admission.gevent, "sleep"):
-        asking._ask(state.step_name(0, 0), ["w1", "w2"], advice)
-    asking._expire(bench.now)
+        asking._ask_service(state.step_name(0, 0), ["w1", "w2"], advice)
+    asking._drop_expired(bench.now)
     _decide(bench)
 
 
--- a/features/steps/key_steps.py
+++ b/features/steps/key_steps.py
@@ -129,7 +129,7 @@
 @behave.given("its store says nothing")
 def silence_store(context):
     context.store.silent = True
-    context.view._heard = time.monotonic() - 3.0
+    context.view._last_contact = time.monotonic() - 3.0
 
 
 @behave.given("the job is {phase}")
--- a/src/rackvalve/manager/admission.py
+++ b/src/rackvalve/manager/admission.py
@@ -1,8 +1,8 @@
-"""Asks the admission service which workers may run a step.
+"""Client loop that asks the admission service which workers may run a step.
 
-The service answers one call of this process at a time, and slowly, so that
-calls are made one after the other, for the steps that wait, and only for
-workers that could take a task now.
+Run by the owner.  The service is slow and answers one call of this process at
+a time.  So calls are made one after the other, for waiting steps only, and
+name only workers that could take a task now.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 
 class Admission:
-    """Keeps the planner's tickets fresh.
+    """Keeps the planner's admission tickets valid.
 
     :param adviser: The service; ``None`` where there is none.
     :param book: The owner's book.
     :param planner: The planner that uses the tickets.
-    :param on_change: Called when new tickets have come.
+    :param on_change: Called when new tickets have arrived.
     """
 
     def __init__(
@@ -45,21 +45,22 @@
         self._on_change = on_change
         # Workers that were asked about and not admitted, by step.
         self._denied: dict[str, set[str]] = {}
+        # When a step's tickets expire, in seconds.
         self._expiry: dict[str, float] = {}
 
     def run(self) -> None:
-        """Ask for what waits, until the greenlet is killed."""
+        """Ask for tickets of waiting steps, until the greenlet is killed."""
         while True:
             if not self._ask_next():
                 gevent.sleep(timing.ADMISSION_INTERVAL_S)
 
     def _ask_next(self) -> bool:
-        """Ask for the step that has waited longest.
+        """Ask for tickets of the first waiting step that needs them.
 
-        :return: Whether there was one.
+        :return: Whether there was such a step.
         """
         now = clocks.read_steady()
-        self._expire(now)
+        self._drop_expired(now)
         for state in self._book.open_jobs.values():
             queue = self._book.queues.get(state.queue)
             if queue is None or queue.advice is None or not state.waiting:
@@ -70,19 +71,21 @@
                 continue
             names = self._find_candidates(state, name, queue, step, now)
             if names:
-                self._ask(step, names, queue.advice)
+                self._ask_service(step, names, queue.advice)
                 return True
         return False
 
     def _is_admitted(self, step: str) -> bool:
-        """Return whether a worker that is known may run a step.
+        """Return whether a known worker has a ticket for a step.
 
-        The tickets of a life that is over are of no use to the next one.
+        A ticket is of no use to the worker's next incarnation.
         """
         tickets = self._planner.tickets.get(step, {})
-        return any(life in self._book.workers for life in tickets)
+        return any(
+            incarnation in self._book.workers for incarnation in tickets
+        )
 
-    def _expire(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         for step, expiry in list(self._expiry.items()):
             if now >= expiry:
                 del self._expiry[step]
@@ -97,7 +100,7 @@
         step: str,
         now: float,
     ) -> list[str]:
-        """Return the workers to ask about, those with most room first."""
+        """Return the workers to ask about, those with most free CPU first."""
         denied = self._denied.get(step, set())
         labels = state.step_of(name).labels
         found = [
@@ -112,7 +115,9 @@
         found.sort(key=lambda worker: -worker.free.cpu)
         return [worker.identity for worker in found[: timing.ADMISSION_MOST]]
 
-    def _ask(self, step: str, names: list[str], advice: queues.Advice) -> None:
+    def _ask_service(
+        self, step: str, names: list[str], advice: queues.Advice
+    ) -> None:
         if self._adviser is None:
             logs.write_warning(
                 "admission.failed", step=step, reason="no service is set"
--- a/src/rackvalve/manager/counts.py
+++ b/src/rackvalve/manager/counts.py
@@ -1,9 +1,9 @@
-"""How many jobs of a queue have not begun, as callers are told.
+"""Counts of a queue's jobs that have not begun, as callers are told.
 
-The owner publishes the numbers of all queues with the time at which they were
-true, which is no later than its own view of the jobs.  A number that is older
-than callers bear is not told: the process that is asked counts the records
-itself, in the store, whoever owns.
+The owner publishes the counts of all queues with the time at which they were
+true, which is no later than its own view of the jobs.  A count that is too old
+for callers is not used: the process that answers the request then counts the
+records in the store itself, whether or not it is the owner.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 class _Record(msgspec.Struct):
     # Jobs that have not begun, by queue; a queue without any is left out.
     waiting: dict[str, int]
-    # When that was true, in seconds since 1970.
+    # When the counts were true, in seconds since 1970.
     counted: float
 
 
@@ -34,9 +34,10 @@
 class Count:
     """How many jobs of a queue have not begun.
 
-    :param waiting: The number.
-    :param age: How old it is, in seconds.
-    :param published: Whether the owner has counted, or this process.
+    :param waiting: The count.
+    :param age: Age of the count, in seconds.
+    :param published: Whether the owner published the count; if not, this
+        process counted.
     """
 
     waiting: int
@@ -45,11 +46,11 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class _Counted:
-    """What this process has counted last.
+class _CachedCount:
+    """The last count that this process made of a queue.
 
-    :param waiting: The number.
-    :param at: When it began to count, in seconds.
+    :param waiting: The count.
+    :param at: When the counting began, in seconds.
     """
 
     waiting: int
@@ -57,27 +58,27 @@
 
 
 def encode(waiting: dict[str, int], counted: float) -> bytes:
-    """Encode what an owner publishes.
+    """Encode the record that an owner publishes.
 
     :param waiting: Jobs that have not begun, by queue.
-    :param counted: When that was true, in seconds since 1970.
+    :param counted: When the counts were true, in seconds since 1970.
     """
     return msgspec.json.encode(_Record(waiting=waiting, counted=counted))
 
 
 class Counter:
-    """Counts for the callers of one process.
+    """Finds the counts for the callers of one process.
 
     :param store: The store.
     """
 
-    __slots__ = ("_store", "_counted", "_locks")
+    __slots__ = ("_store", "_cache", "_locks")
 
     def __init__(self, store: stores.Store) -> None:
         self._store = store
-        # What this process has counted itself, by queue, one at a time: a
-        # count reads all records of the queue.
-        self._counted: dict[str, _Counted] = {}
+        # This process's own counts by queue.  Each queue is counted by one
+        # greenlet at a time, since a count reads all records of the queue.
+        self._cache: dict[str, _CachedCount] = {}
         self._locks: dict[str, lock.BoundedSemaphore] = {}
 
     def count(self, queue: str, wall: float) -> Count | stores.Unavailable:
@@ -85,13 +86,13 @@
 
         :param queue: Name of the queue.
         :param wall: Present time, in seconds since 1970.
-        :return: The number, or why it is not known.
+        :return: The count, or why it is unknown.
         """
         found = self._store.read(WAITING_KEY)
         if isinstance(found, stores.Unavailable):
             return found
         if isinstance(found, stores.Item):
-            record = _read(found.payload)
+            record = _decode(found.payload)
             if record is not None and _is_recent(record, wall):
                 return Count(
                     waiting=record.waiting.get(queue, 0),
@@ -103,42 +104,42 @@
     def _count_records(
         self, queue: str, now: float
     ) -> Count | stores.Unavailable:
-        """Count a queue's records, or tell what was counted a moment ago.
+        """Count a queue's records, or return a recent count of this process.
 
         :param queue: Name of the queue.
         :param now: Present time, in seconds.
         """
         turn = self._locks.setdefault(queue, lock.BoundedSemaphore())
         with turn:
-            counted = self._counted.get(queue)
-            if counted is None or now - counted.at > timing.COUNT_KEPT_S:
+            cached = self._cache.get(queue)
+            if cached is None or now - cached.at > timing.COUNT_KEPT_S:
                 began = clocks.read_steady()
                 waiting = self._read_waiting(queue)
                 if isinstance(waiting, stores.Unavailable):
                     return waiting
-                counted = _Counted(waiting=waiting, at=began)
-                self._counted[queue] = counted
-        age = clocks.read_steady() - counted.at
-        return Count(waiting=counted.waiting, age=age, published=False)
+                cached = _CachedCount(waiting=waiting, at=began)
+                self._cache[queue] = cached
+        age = clocks.read_steady() - cached.at
+        return Count(waiting=cached.waiting, age=age, published=False)
 
     def _read_waiting(self, queue: str) -> int | stores.Unavailable:
         """Count the jobs that are defined and neither begun nor cancelled."""
-        # First, so that a job that begins in between counts once too often,
-        # not once too little.
+        # Progress is read first, so that a job that begins between the reads
+        # is counted once too often, not once too little.
         known = self._store.read_range(f"{records.PROGRESS_PREFIX}{queue}/")
         if isinstance(known, stores.Unavailable):
             return known
-        handed_in = self._store.read_range(f"{records.PREFIX}{queue}/")
-        if isinstance(handed_in, stores.Unavailable):
-            return handed_in
-        identities = _list_jobs(handed_in.items, records.Part.DEFINITION)
-        identities -= _list_jobs(handed_in.items, records.Part.CANCEL)
+        submitted = self._store.read_range(f"{records.PREFIX}{queue}/")
+        if isinstance(submitted, stores.Unavailable):
+            return submitted
+        identities = _list_jobs(submitted.items, records.Part.DEFINITION)
+        identities -= _list_jobs(submitted.items, records.Part.CANCEL)
         begun = [item for item in known.items if _has_begun(item)]
         return len(identities - _list_jobs(begun, records.Part.PROGRESS))
 
 
-def _read(payload: bytes) -> _Record | None:
-    """Decode what was published; ``None`` for what no owner has written."""
+def _decode(payload: bytes) -> _Record | None:
+    """Decode the published record; return ``None`` if it is invalid."""
     try:
         return msgspec.json.decode(payload, type=_Record)
     except msgspec.DecodeError:
@@ -146,9 +147,9 @@
 
 
 def _is_recent(record: _Record, wall: float) -> bool:
-    """Return whether a number is new enough to be told.
+    """Return whether a published count is recent enough to be used.
 
-    One from a time to come was dated by a clock that is not ours.
+    A count from the future was dated by a clock that differs from this VM's.
     """
     age = wall - record.counted
     return -timing.COUNT_AHEAD_MOST_S <= age <= timing.COUNT_AGE_MOST_S
@@ -157,7 +158,7 @@
 def _list_jobs(
     items: tuple[stores.Item, ...] | list[stores.Item], part: records.Part
 ) -> set[str]:
-    """Return the identifiers of the jobs that have a kind of record."""
+    """Return the identifiers of the jobs that have a record of this part."""
     keys = [records.read_key(item.key) for item in items]
     return {
         key.identity for key in keys if key is not None and key.part is part
@@ -165,7 +166,7 @@
 
 
 def _has_begun(item: stores.Item) -> bool:
-    """Return whether a progress record tells of a job that has begun."""
+    """Return whether a progress record belongs to a job that has begun."""
     try:
         phase = records.read_summary(item.payload).phase
     except errors.DocumentInvalidError:
--- a/src/rackvalve/manager/job_api.py
+++ b/src/rackvalve/manager/job_api.py
@@ -259,7 +259,7 @@
         assert queue is not None
         rest = path[len(queue.prefix) :].strip("/")
         if rest and not _JOB_IDENTITY.fullmatch(rest):
-            return _reject("the job identifier must be 16 hexadecimal digits")
+            return _reject("an identifier is 16 hexadecimal digits")
         request = Request(
             method=environ["REQUEST_METHOD"],
             queue=queue,
@@ -459,7 +459,7 @@
 def _read_body(environ: dict[str, Any], limit: int) -> bytes | Reply:
     length = environ.get("CONTENT_LENGTH") or ""
     if length and not (length.isascii() and length.isdigit()):
-        return _reject("Content-Length is not a number")
+        return _reject("Content-Length is no number")
     if length and int(length) > limit:
         return _reject_body(environ, limit)
     body: bytes = environ["wsgi.input"].read(limit + 1)
--- a/src/rackvalve/manager/view.py
+++ b/src/rackvalve/manager/view.py
@@ -1,4 +1,7 @@
-"""The operator's orders as this process knows them, and how fresh they are."""
+"""The operator's documents as this process knows them, and how fresh they are.
+
+Used by the job API, the revalidator, the owner and the control of VMs.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 
 class View:
-    """The newest configuration and waves that were seen."""
+    """The newest configuration, waves and evacuations that were read."""
 
     __slots__ = (
         "configuration",
@@ -20,7 +23,7 @@
         "waves",
         "evacuated",
         "confirmed_at",
-        "_heard",
+        "_last_contact",
     )
 
     def __init__(self) -> None:
@@ -28,33 +31,33 @@
         # Store revision of the configuration.
         self.revision = 0
         self.waves: dict[int, fleet.Wave] = {}
-        # Halls to whose VMs nothing more is to be sent.
+        # Halls that are evacuated: their VMs get no more work.
         self.evacuated: frozenset[str] = frozenset()
-        # The last time, in seconds, at which this view is known to have been
-        # the newest.
+        # The latest time, in seconds, at which this view is known to have been
+        # current.
         self.confirmed_at = float("-inf")
-        self._heard = float("-inf")
+        self._last_contact = float("-inf")
 
     def note_confirmed(self, now: float) -> None:
-        """Note that this view was the newest at a time.
+        """Record that this view was current at a time.
 
         :param now: The time, in seconds.
         """
         self.confirmed_at = max(self.confirmed_at, now)
 
     def note_contact(self) -> None:
-        """Note that the store has just answered."""
-        self._heard = clocks.read_steady()
+        """Record that the store has just answered."""
+        self._last_contact = clocks.read_steady()
 
     def silence(self, now: float) -> float:
-        """Return for how long the store has not answered, in seconds.
+        """Return the time since the store's last answer, in seconds.
 
         :param now: Present time, in seconds.
         """
-        return now - self._heard
+        return now - self._last_contact
 
     def apply_range(self, items: tuple[stores.Item, ...]) -> None:
-        """Take all that the operator has written.
+        """Apply all of the operator's documents.
 
         :param items: All items under the operator's prefix.
         """
@@ -64,23 +67,23 @@
         self._set_evacuated({hall for hall in found if hall is not None})
 
     def apply_changes(self, changes: stores.Changes) -> None:
-        """Take what the operator has just written.
+        """Apply changes of the operator's documents.
 
         :param changes: The changes.
         """
         for item in changes.written:
             self.apply_item(item)
         halls = set(self.evacuated)
-        for key, is_asked in _list_changes(changes):
+        for key, exists in _list_changes(changes):
             hall = documents.evacuated_hall_of(key)
-            if hall is not None and is_asked:
+            if hall is not None and exists:
                 halls.add(hall)
             elif hall is not None:
                 halls.discard(hall)
         self._set_evacuated(halls)
 
     def _set_evacuated(self, halls: set[str]) -> None:
-        """Take which halls are evacuated, and tell if that has changed."""
+        """Set the halls that are evacuated, and log a change."""
         found = frozenset(halls)
         if found == self.evacuated:
             return
@@ -88,13 +91,13 @@
         logs.write_event("halls.evacuated", halls=sorted(found))
 
     def apply_item(self, item: stores.Item) -> None:
-        """Take one document.
+        """Apply one document, or log why it was rejected.
 
         :param item: The document.
         """
         try:
             if item.key == documents.CONFIGURATION_KEY:
-                self._take_configuration(item)
+                self._apply_configuration(item)
             elif item.key.startswith(documents.WAVE_PREFIX):
                 wave = documents.read_wave(item.payload)
                 self.waves[wave.number] = wave
@@ -106,7 +109,7 @@
                 reason=error.reason,
             )
 
-    def _take_configuration(self, item: stores.Item) -> None:
+    def _apply_configuration(self, item: stores.Item) -> None:
         if item.revision <= self.revision:
             return
         newer = documents.read_configuration(item.payload)
@@ -134,7 +137,7 @@
 
 
 def _list_changes(changes: stores.Changes) -> list[tuple[str, bool]]:
-    """Return the keys that changed, in order, and whether they are there."""
+    """Return the changed keys by revision, and whether each one exists."""
     rows = [(item.revision, item.key, True) for item in changes.written]
     rows += [(revision, key, False) for key, revision in changes.removed]
-    return [(key, is_there) for _, key, is_there in sorted(rows)]
+    return [(key, exists) for _, key, exists in sorted(rows)]
--- a/src/rackvalve/manager/watcher.py
+++ b/src/rackvalve/manager/watcher.py
@@ -1,8 +1,8 @@
-"""Follows a prefix of the store: all items once, then each change.
+"""Watcher of a prefix of the store: reads all items, then each change.
 
-A store that loses its history may say nothing on watches for more than a
-second while it answers all other calls.  So a watch that was waited for in
-vain is followed by a reading of all items.
+A store that loses its history may leave watches unanswered for more than a
+second while it answers all other calls.  So a watch that timed out is followed
+by a read of all items.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from rackvalve.manager import timing
 from rackvalve.platform import store as stores
 
-# After a watch that failed, the next answers bring its time limit back to the
-# usual one within some 20 of them.
+# After a failed watch the slack decays by this factor with each answer, and is
+# back at its usual value within some 20 answers.
 SLACK_DECAY = 0.95
 
 
 class Watcher:
-    """Follows one prefix.
+    """Watches one prefix of the store.
 
     :param store: The store.
     :param prefix: The prefix.
-    :param on_range: Takes all items, at first and after lost history.
-    :param on_changes: Takes each change.
+    :param on_range: Called with all items, at first and after lost history.
+    :param on_changes: Called with each change.
     :param on_contact: Called at each answer of the store.
-    :param pace: How long its watches wait.
+    :param pace: How long the watches wait.
     """
 
     def __init__(
@@ -49,21 +49,22 @@
         self._on_contact = on_contact
         self._pace = pace
         self._slack = pace.slack
-        # When all that the store held is known to have been told, in seconds.
+        # The latest time, in seconds, of which everything in the store is
+        # known to have been passed on.
         self.confirmed_at = float("-inf")
         self._failing = False
-        # Whether a watch was waited for in vain.
-        self._silent = False
+        # Whether the last watch timed out.
+        self._timed_out = False
         self._revision = -1
 
     def run(self) -> None:
-        """Follow the prefix, until the greenlet is killed."""
+        """Watch the prefix, until the greenlet is killed."""
         while True:
-            if self._revision < 0 or self._silent:
-                self._silent = False
+            if self._revision < 0 or self._timed_out:
+                self._timed_out = False
                 self._read_all()
             else:
-                self._wait()
+                self._watch()
 
     def read(self) -> bool:
         """Read all items once, before :meth:`run`.
@@ -77,15 +78,15 @@
         began = clocks.read_steady()
         found = self._store.read_range(self._prefix)
         if isinstance(found, stores.Unavailable):
-            self._note_failure("range", found.reason)
+            self._log_failure("range", found.reason)
             return
-        self._note_success()
+        self._record_success()
         self._revision = max(self._revision, found.revision)
         self._on_range(found.items)
         self.confirmed_at = began
 
-    def _wait(self) -> None:
-        # A connection that is cut silently shows only when the wait is over.
+    def _watch(self) -> None:
+        # A connection that is cut silently is noticed only by the timeout.
         began = clocks.read_steady()
         changes = self._store.watch(
             self._prefix,
@@ -100,20 +101,20 @@
             self._revision = -1
             return
         if isinstance(changes, stores.Unavailable):
-            # The store may only be slower than was thought.
+            # The store may only be slower than expected: allow it more time.
             self._slack = min(2 * self._slack, self._pace.slack_most)
             taken = clocks.read_steady() - began
-            self._silent = taken >= self._pace.wait
-            self._note_failure("watch", changes.reason)
+            self._timed_out = taken >= self._pace.wait
+            self._log_failure("watch", changes.reason)
             return
         self._slack = max(self._pace.slack, SLACK_DECAY * self._slack)
-        self._note_success()
+        self._record_success()
         self._revision = max(self._revision, changes.revision)
         if changes.written or changes.removed:
             self._on_changes(changes)
         self.confirmed_at = began
 
-    def _note_failure(self, call: str, reason: str) -> None:
+    def _log_failure(self, call: str, reason: str) -> None:
         if not self._failing:
             logs.write_warning(
                 "dependency.lost",
@@ -123,10 +124,10 @@
                 reason=reason,
             )
         self._failing = True
-        if not self._silent:
+        if not self._timed_out:
             gevent.sleep(timing.STORE_PAUSE_S)
 
-    def _note_success(self) -> None:
+    def _record_success(self) -> None:
         if self._failing:
             logs.write_event(
                 "dependency.regained", dependency="store", prefix=self._prefix
