--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -12,7 +12,7 @@
 from features import job_models as models
 from features import vm_bench
 from rackvalve.jobs import definition
-from rackvalve.jobs import lives
+from rackvalve.jobs import incarnations
 from rackvalve.jobs import progress
 from rackvalve.jobs import records
 from rackvalve.manager import admission as admissions
@@ -21,11 +21,11 @@
 from rackvalve.platform import documents
 from rackvalve.platform import reports
 from rackvalve.platform import workers as clients
-from rackvalve.scheduling import fences
+from rackvalve.scheduling import failure_detector
+from rackvalve.scheduling import fencing_tokens
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import queues
-from rackvalve.scheduling import silence
 from rackvalve.scheduling import upkeep
 
 EARLIER = "w1@1000"
@@ -220,7 +220,9 @@
 def follow_life(context, age):
     bench = context.bench = benches.Bench([])
     context.upkeep = upkeep.Upkeep(bench.book)
-    context.silence = silence.Silence(bench.book, context.upkeep)
+    context.silence = failure_detector.FailureDetector(
+        bench.book, context.upkeep
+    )
     bench.book.set_entry(make_entry(LATER))
     bench.add(definition.Step(tasks=1, cpu=1))
     bench.numbers[LATER] = 0
@@ -242,7 +244,7 @@
     bench = context.bench
     row = vm_bench.list_vm(EARLIER, worker=worker, up=bool(worker))
     context.upkeep.take_list([row], bench.now)
-    context.silence.look(bench.now)
+    context.silence.check(bench.now)
 
 
 @behave.when("a list is read right after its last answer and names no worker")
@@ -267,7 +269,7 @@
     report = {"clock-ms": 7, "running": [], "ended": []}
     text = json.dumps({**report, **field}).encode()
     context.births = [
-        lives.read_life(read.identity).born,
+        incarnations.parse_incarnation(read.identity).born,
         reports.read_report(text).born,
     ]
 
@@ -282,9 +284,9 @@
 def check_identities(context):
     for row in context.table:
         born = int(row["born"]) if row["born"] else None
-        life = lives.Life(worker=row["name"], born=born)
+        life = incarnations.Incarnation(worker=row["name"], born=born)
         assert life.identity == row["identity"], life.identity
-        assert lives.read_life(life.identity) == life, life
+        assert incarnations.parse_incarnation(life.identity) == life, life
 
 
 @behave.given(
@@ -294,7 +296,9 @@
 def refuse_token(context, whose):
     bench = benches.Bench([EARLIER])
     context.worker = bench.book.workers[EARLIER]
-    context.owner = mock.Mock(durable=0, fences=fences.Fences(7))
+    context.owner = mock.Mock(
+        durable=0, fences=fencing_tokens.FencingTokens(7)
+    )
     if whose == "it itself":
         later = bench.book.add_life(LATER)
         context.owner.fences.raise_for(later, 9)
--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -11,13 +11,13 @@
 import collections
 
 from rackvalve.jobs import definition
-from rackvalve.jobs import lives
+from rackvalve.jobs import incarnations
 from rackvalve.jobs import progress
-from rackvalve.scheduling import beginnings
 from rackvalve.scheduling import closures
 from rackvalve.scheduling import crash_history
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import index
+from rackvalve.scheduling import job_starts
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import queues
 from rackvalve.scheduling import speeds
@@ -146,7 +146,7 @@
                 self.find_workspace(state), state.accepted
             )
         self.jobs[state.identity] = state
-        self.crash_history.culprits.take(state, self.open_jobs.values())
+        self.crash_history.crashing_jobs.match(state, self.open_jobs.values())
         if not state.is_final:
             self.open_jobs[state.identity] = state
         for task in state.tasks.values():
@@ -196,7 +196,7 @@
 
         :param entry: Its newest entry.
         """
-        life = lives.read_life(entry.identity)
+        life = incarnations.parse_incarnation(entry.identity)
         # Without a birth it may be of whichever life the worker has now.
         known = self.find_present(life.worker) if life.born is None else None
         worker = known or self.add_life(entry.identity)
@@ -367,7 +367,7 @@
             run.confirmed_at = run.percent_since = now
             if run.stage is progress.Stage.ORDERED:
                 run.stage = progress.Stage.CONFIRMED
-            if beginnings.note_there(placed):
+            if job_starts.note_run_seen(placed):
                 self.note_begun(placed.state)
             return
         if result is messages.StartResult.OUTDATED:
--- a/src/rackvalve/scheduling/culprits.py
+++ b/src/rackvalve/scheduling/crashing_jobs.py
@@ -13,7 +13,7 @@
 from rackvalve.jobs import progress
 
 
-class Culprits:
+class CrashingJobs:
     """The jobs that were given up for crashes and whose records are kept."""
 
     __slots__ = ("_lived",)
@@ -22,7 +22,7 @@
         # How long their runs had lived at most, in seconds, by job.
         self._lived: dict[Hashable, dict[str, float]] = {}
 
-    def take(
+    def match(
         self, state: progress.JobState, others: Iterable[progress.JobState]
     ) -> None:
         """Compare a job that has come, or has ended, with others.
@@ -41,7 +41,7 @@
             return
         for other in (state,) if lived is None else others:
             if not other.is_final and _describe(other) == key:
-                other.culprit_lived = known
+                other.known_time_to_crash = known
 
     def forget(self, state: progress.JobState) -> None:
         """Forget a job whose records are removed.
@@ -52,7 +52,7 @@
         if known.pop(state.identity, None) is not None and not known:
             del self._lived[_describe(state)]
 
-    def acquit(
+    def clear(
         self, state: progress.JobState, others: Iterable[progress.JobState]
     ) -> None:
         """Note that a task of a job has ended well.
@@ -60,13 +60,13 @@
         :param state: The job.
         :param others: The jobs that have not ended.
         """
-        if not state.culprit_lived:
+        if not state.known_time_to_crash:
             return
         key = _describe(state)
         self._lived.pop(key, None)
         for other in others:
             if _describe(other) == key:
-                other.culprit_lived = 0.0
+                other.known_time_to_crash = 0.0
 
 
 def _describe(state: progress.JobState) -> Hashable:
@@ -79,6 +79,8 @@
     if state.phase is not progress.Phase.FAILED:
         return None
     lived = [
-        task.lived for task in state.tasks.values() if task.isolated_crashes
+        task.time_to_crash
+        for task in state.tasks.values()
+        if task.isolated_crashes
     ]
     return max(lived, default=None)
