--- a/src/rackvalve/manager/intake.py
+++ b/src/rackvalve/manager/intake.py
@@ -1,4 +1,7 @@
-"""Takes what callers have handed in and cancelled from the store."""
+"""Intake of submitted and cancelled jobs from the store into an owner's book.
+
+The owner passes on what its watch over the jobs' records reports.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +19,11 @@
 
 
 class JobIntake:
-    """Brings the records of jobs into one owner's book.
+    """Applies the records of jobs to one owner's book.
 
     :param book: The book.
     :param progress: Progress records that were read before the first range.
-    :param on_change: Called after jobs were taken.
+    :param on_change: Called after records were applied.
     """
 
     __slots__ = ("_book", "_progress", "_on_change")
@@ -37,33 +40,33 @@
         self._on_change = on_change
 
     def apply_range(self, items: tuple[stores.Item, ...]) -> None:
-        """Take all records, at first and after lost history.
+        """Apply all records, at first and after lost history.
 
-        What is known already stays as it is.
+        Jobs that are known already stay as they are.
 
-        :param items: All definitions and cancels.
+        :param items: All definitions and cancellations.
         """
         by_job = _group(items + self._progress)
         self._progress = ()
-        self._take_all(by_job)
+        self._apply_all(by_job)
         self._on_change()
 
     def apply_changes(self, changes: stores.Changes) -> None:
-        """Take what was just handed in or cancelled.
+        """Apply submissions and cancellations that the watch reports.
 
         :param changes: The changes.
         """
-        self._take_all(_group(changes.written))
+        self._apply_all(_group(changes.written))
         self._on_change()
 
-    def _take_all(self, by_job: dict[tuple[str, str], Parts]) -> None:
-        """Take the records of several jobs, the first accepted first.
+    def _apply_all(self, by_job: dict[tuple[str, str], Parts]) -> None:
+        """Apply the records of several jobs, the first accepted first.
 
-        The order decides which of them were sent within the rate of their
+        The order decides which jobs count as sent within the rate of their
         workspace.
         """
         found = [
-            self._read(queue, identity, parts)
+            self._decode(queue, identity, parts)
             for (queue, identity), parts in by_job.items()
             if records.Part.DEFINITION in parts
             and identity not in self._book.jobs
@@ -75,10 +78,10 @@
             if records.Part.CANCEL in parts:
                 self._cancel(identity)
 
-    def _read(
+    def _decode(
         self, queue: str, identity: str, parts: Parts
     ) -> progress.JobState | None:
-        """Read a job; ``None`` if its records do not decode."""
+        """Decode a job's records; return ``None`` if they are invalid."""
         now = clocks.read_steady()
         defined = parts[records.Part.DEFINITION]
         stored = parts.get(records.Part.PROGRESS)
--- a/src/rackvalve/manager/program.py
+++ b/src/rackvalve/manager/program.py
@@ -1,4 +1,4 @@
-"""The composition root of ``rackvalve-manager``."""
+"""The ``rackvalve-manager`` program: builds its parts and runs them."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 SETTINGS_VARIABLE = "RACKVALVE_CONFIG"
 EXIT_OK = 0
 EXIT_SETTINGS = 2
-# How often the settings file is looked at for changes, in seconds.
-SETTINGS_INTERVAL_S = 2.0
+# Interval at which the settings file is checked for changes, in seconds.
+SETTINGS_CHECK_INTERVAL_S = 2.0
 
 
 class Program:
@@ -89,7 +89,7 @@
         )
 
     def run(self) -> int:
-        """Serve until told to end.
+        """Serve until a signal ends the process.
 
         :return: Exit code.
         """
@@ -99,7 +99,7 @@
         self._job_api_listener = self._listen("front_listen", self._job_api)
         listeners = [
             self._job_api_listener,
-            self._listen("ready_listen", self._tell_ready),
+            self._listen("ready_listen", self._answer_ready),
             self._listen("metrics_listen", self._telemetry.make_app()),
         ]
         operator = watchers.Watcher(
@@ -107,11 +107,11 @@
             documents.OPERATOR_PREFIX,
             on_range=self._view.apply_range,
             on_changes=self._view.apply_changes,
-            on_contact=self._note_operator,
+            on_contact=self._record_operator_contact,
         )
         pause = timing.FAILURE_PAUSE_S
         tasks.run_forever("operator watch", pause, operator.run)
-        tasks.run_forever("settings", pause, self._follow_settings)
+        tasks.run_forever("settings", pause, self._watch_settings)
         self._election.start()
         logs.write_event("program.started")
         self._ended.wait()
@@ -128,8 +128,8 @@
         server.start()
         return server
 
-    def _note_operator(self) -> None:
-        """Note that the watch over the operator's orders was answered."""
+    def _record_operator_contact(self) -> None:
+        """Record an answer to the watch over the operator's documents."""
         self._view.note_contact()
         self._view.note_confirmed(clocks.read_steady())
 
@@ -166,7 +166,7 @@
             connections.HttpClient(addresses[0].host, addresses[0].port)
         )
 
-    def _tell_ready(
+    def _answer_ready(
         self, environ: dict[str, str], start_response: job_api.StartResponse
     ) -> list[bytes]:
         silence = self._view.silence(clocks.read_steady())
@@ -194,22 +194,22 @@
         began = clocks.read_steady()
         gevent.sleep(min(timing.LEAVE_S, grace / 2))
         if self._job_api_listener is not None:
-            # Connections that are open are served on.
+            # Requests on open connections are still served.
             self._job_api_listener.close()
-        self._wait_for_calls(began + grace - timing.END_MARGIN_S)
+        self._wait_for_requests(began + grace - timing.END_MARGIN_S)
         self._ended.set()
 
-    def _wait_for_calls(self, until: float) -> None:
-        """Wait until no call was under way for a while.
+    def _wait_for_requests(self, until: float) -> None:
+        """Wait until no request has been active for a while.
 
         :param until: When to give up, in seconds.
         """
-        quiet_since = clocks.read_steady()
+        idle_since = clocks.read_steady()
         while clocks.read_steady() < until:
             now = clocks.read_steady()
             if self._job_api.active_requests:
-                quiet_since = now
-            elif now - quiet_since >= timing.LAST_CALLS_S:
+                idle_since = now
+            elif now - idle_since >= timing.LAST_CALLS_S:
                 return
             gevent.sleep(timing.LAST_CALLS_S / 4)
 
@@ -227,18 +227,18 @@
         self._machine_client.set_address(machines.host, machines.port)
         logs.write_event("settings.reloaded", store=str(address))
 
-    def _follow_settings(self) -> None:
-        """Reload the settings when their file changes without a signal."""
-        known = _read_stamp(self._path)
+    def _watch_settings(self) -> None:
+        """Reload the settings when their file changes, without a signal."""
+        known = _read_file_stamp(self._path)
         while True:
-            gevent.sleep(SETTINGS_INTERVAL_S)
-            stamp = _read_stamp(self._path)
+            gevent.sleep(SETTINGS_CHECK_INTERVAL_S)
+            stamp = _read_file_stamp(self._path)
             if stamp is not None and stamp != known:
                 known = stamp
                 self._reload()
 
 
-def _read_stamp(path: str) -> tuple[int, int] | None:
+def _read_file_stamp(path: str) -> tuple[int, int] | None:
     try:
         found = os.stat(path)
     except OSError as error:
@@ -252,12 +252,12 @@
 
     :param arguments: Path of the settings file, if the environment does not
         name it.
-    :return: Exit code: 0 ended as told, 2 wrong settings.
+    :return: Exit code: 0 after a signal, 2 for invalid settings.
     """
     path = arguments[0] if arguments else os.environ.get(SETTINGS_VARIABLE)
     if not path:
         print(
-            f"give the settings file, or set {SETTINGS_VARIABLE}",
+            f"pass the settings file's path, or set {SETTINGS_VARIABLE}",
             file=sys.stderr,
         )
         return EXIT_SETTINGS
--- a/src/rackvalve/manager/revalidation.py
+++ b/src/rackvalve/manager/revalidation.py
@@ -1,8 +1,9 @@
-"""Confirms that the configuration this process holds is the newest one.
+"""Revalidation of the configuration that this process holds.
 
-A watch tells of each change, but it may be stuck: cut off in silence, or
-still reading a large configuration over a narrow link.  Then the revisions
-are compared in the store, by one call at a time however many callers wait.
+Used by the job API.  A watch reports each change, but may be stalled: its
+connection cut off silently, or a large configuration still being read over a
+slow link.  Then the revisions are compared in the store, by one call at a time
+however many callers wait.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
     """Compares the configuration held with the store's.
 
     :param store: The store.
-    :param view: The operator's orders as this process knows them.
+    :param view: The operator's documents as this process knows them.
     """
 
     __slots__ = ("_store", "_view", "_comparison", "_compared")
@@ -29,17 +30,18 @@
     def __init__(self, store: stores.Store, view: views.View) -> None:
         self._store = store
         self._view = view
-        # Set when the comparison that is under way has ended.
+        # Set when the comparison in flight has ended; ``None`` without one.
         self._comparison: event.Event | None = None
         # When the last comparison began, in seconds.
         self._compared = float("-inf")
 
     def confirm(self, since: float, until: float) -> bool:
-        """Make sure that the view was the newest at a time, or later.
+        """Make sure that the view was current at a time or later.
 
         :param since: The time, in seconds.
         :param until: When to give up, in seconds.
-        :return: Whether it is confirmed; if not, the store does not answer.
+        :return: Whether the view is confirmed; if not, the store does not
+            answer.
         """
         while self._view.confirmed_at < since:
             now = clocks.read_steady()
@@ -56,15 +58,15 @@
         return True
 
     def _compare(self) -> bool:
-        """Compare once, and take the newer configuration if there is one.
+        """Compare once, and apply a newer configuration if there is one.
 
         :return: Whether the store has answered.
         """
         ended = self._comparison = event.Event()
         began = self._compared = clocks.read_steady()
         try:
-            # Nothing is written: the store compares the revisions, and hands
-            # the configuration out only if it is another one.
+            # A commit that writes nothing: the store compares the revisions,
+            # and returns the configuration only if the revision differs.
             outcome = self._store.commit(
                 [
                     stores.Condition(
