--- a/features/steps/bound_steps.py
+++ b/features/steps/bound_steps.py
@@ -28,7 +28,7 @@
 
 
 def make_room(units):
-    return fleet.Room(cpu=units, memory=units, gpu=0)
+    return fleet.Resources(cpu=units, memory=units, gpu=0)
 
 
 def set_bounds(bench, bounds):
@@ -356,7 +356,7 @@
     def reject_start(self):
         placed = self.pick_run()
         if placed is not None:
-            self.bench.book.take_start(
+            self.bench.book.apply_start_result(
                 placed,
                 messages.StartResult.NO_ROOM,
                 uncertain=self.random.random() < 0.5,
--- a/features/steps/isolation_steps.py
+++ b/features/steps/isolation_steps.py
@@ -15,9 +15,9 @@
 from rackvalve.jobs import definition
 from rackvalve.jobs import progress
 from rackvalve.manager import timing
+from rackvalve.scheduling import blockers
 from rackvalve.scheduling import crash_series
 from rackvalve.scheduling import fleet
-from rackvalve.scheduling import hindrance as hindrances
 from rackvalve.scheduling import messages
 from tools.experiments import crashes as experiment
 from tools import site as sites
@@ -141,7 +141,7 @@
     number = state.take_run_number()
     worker = bench.book.workers[name]
     bench.book.place(state, task, worker, number, bench.now)
-    bench.book.take_recorded(state.identity, state.list_planned(), bench.now)
+    bench.book.order_recorded(state.identity, state.list_planned(), bench.now)
     (order,) = bench.starts()
     bench.confirm(order)
 
@@ -275,7 +275,7 @@
     book = context.bench.book
     book.set_configuration(owners.make_configuration(1))
     context.state.workspace = owners.WORKSPACE
-    book.usage.add(owners.WORKSPACE, fleet.Room(cpu=1, memory=0, gpu=0))
+    book.usage.add(owners.WORKSPACE, fleet.Resources(cpu=1, memory=0, gpu=0))
 
 
 @behave.when(
@@ -349,13 +349,13 @@
 )
 def check_told(context):
     bench = context.bench
-    judge = hindrances.Judge(
+    finder = blockers.BlockerFinder(
         bench.book, bench.planner, bench.now, timing.FRESHNESS_S
     )
-    found = judge.find(context.others, context.others.waiting, ())
-    assert found.cause is hindrances.Cause.NO_ROOM, found
-    counts = judge.pool(models.POOL).counts
-    assert counts == {hindrances.Availability.KEPT: 1}, counts
+    found = finder.find(context.others, context.others.waiting, ())
+    assert found.cause is blockers.Cause.NO_ROOM, found
+    counts = finder.pool(models.POOL).counts
+    assert counts == {blockers.Availability.RESERVED: 1}, counts
 
 
 @behave.given(
--- a/features/steps/sizing_steps.py
+++ b/features/steps/sizing_steps.py
@@ -27,7 +27,7 @@
 def make_busy_pool(context, count, spares):
     vms.make_sizing(context, count, spares)
     # As many VMs as the pool keeps for this demand.
-    busy = int((count - sizing.RESERVE) / sizing.HEADROOM)
+    busy = int((count - sizing.RESERVE_VMS) / sizing.HEADROOM)
     context.bench.add(definition.Step(tasks=busy, cpu=vms.WIDE.cpu))
     context.bench.start_all()
     assert not vms.step_sizing(context, 1.0)
@@ -41,8 +41,8 @@
         duration=60.0,
         most_away=count,
     )
-    context.upkeep.add_wave(wave, context.bench.now)
-    context.upkeep.waves[1].closed.update(wave.vms)
+    context.maintenance.add_wave(wave, context.bench.now)
+    context.maintenance.waves[1].closed.update(wave.vms)
     context.moves = vms.step_sizing(context, 0.5)
 
 
@@ -73,7 +73,7 @@
 def finish_work(context):
     context.bench.book.cancel_job(benches.IDENTITY, context.bench.now)
     context.moves = vms.step_sizing(
-        context, forecast.PEAK_WINDOW_S + sizing.STAY_S + 1.0
+        context, forecast.PEAK_WINDOW_S + sizing.MIN_STAY_S + 1.0
     )
 
 
@@ -81,7 +81,7 @@
 def check_shrunk(context, count):
     assert {move.pool for move in context.moves} == {vms.SPARE}, context.moves
     assert len(context.names) - len(context.moves) == count
-    assert count == sizing.LEAST
+    assert count == sizing.MIN_POOL_VMS
 
 
 @behave.when("a job for {count:d} VMs comes")
@@ -94,7 +94,7 @@
 @behave.then("the pool is expected to need {count:d} VMs")
 def check_not_rising(context, count):
     size = context.sizing.pools[models.POOL]
-    assert size.forecast.expect(context.bench.now) == count
+    assert size.forecast.predict(context.bench.now) == count
 
 
 @behave.when("{count:d} jobs for 1 VM come each 0.1 s for 0.8 s")
@@ -134,7 +134,7 @@
             placed = bench.placed_run(order)
             bench.book.release(placed, bench.now)
         for name in gone:
-            bench.book.workers[name].closing = sizing.SURPLUS
+            bench.book.workers[name].close_reason = sizing.SURPLUS
         bench.start_all()
     assert len(context.names) - len(gone) == count, gone
     placed = [run for t in context.state.tasks.values() for run in t.runs]
@@ -154,7 +154,7 @@
 def check_closed(context):
     assert context.gone <= context.sizing.find_closures().keys()
     for vm in context.gone:
-        assert context.bench.book.workers[vm].closing == sizing.SURPLUS
+        assert context.bench.book.workers[vm].close_reason == sizing.SURPLUS
         assert not context.bench.book.workers[vm].takes_work(
             context.bench.now, 10.0
         )
@@ -171,8 +171,8 @@
     book.closures.set(context.sizing.find_closures())
     for name, pool in (("old", known.pool), ("new", vms.SPARE)):
         book.set_entry(dataclasses.replace(known, identity=name, pool=pool))
-    assert book.workers["old"].closing == sizing.SURPLUS
-    assert not book.workers["new"].closing
+    assert book.workers["old"].close_reason == sizing.SURPLUS
+    assert not book.workers["new"].close_reason
 
 
 @behave.when("work for {count:d} VMs has just ended there")
@@ -217,5 +217,5 @@
 
 @behave.then("empty VMs of the first pool move to the other")
 def check_direct(context):
-    assert len(context.moves) == 6 - sizing.LEAST
+    assert len(context.moves) == 6 - sizing.MIN_POOL_VMS
     assert {move.pool for move in context.moves} == {vms.OTHER}
--- a/src/rackvalve/manager/admission.py
+++ b/src/rackvalve/manager/admission.py
@@ -63,7 +63,7 @@
         self._drop_expired(now)
         for state in self._book.open_jobs.values():
             queue = self._book.queues.get(state.queue)
-            if queue is None or queue.advice is None or not state.waiting:
+            if queue is None or queue.admission is None or not state.waiting:
                 continue
             name = next(iter(state.waiting))
             step = state.step_name(name.repetition, name.step)
@@ -71,7 +71,7 @@
                 continue
             names = self._find_candidates(state, name, queue, step, now)
             if names:
-                self._ask_service(step, names, queue.advice)
+                self._ask_service(step, names, queue.admission)
                 return True
         return False
 
@@ -116,7 +116,7 @@
         return [worker.identity for worker in found[: timing.ADMISSION_MOST]]
 
     def _ask_service(
-        self, step: str, names: list[str], advice: queues.Advice
+        self, step: str, names: list[str], limits: queues.AdmissionLimits
     ) -> None:
         if self._adviser is None:
             logs.write_warning(
@@ -124,7 +124,7 @@
             )
             gevent.sleep(timing.ADMISSION_PAUSE_S)
             return
-        expected = advice.decide_time + advice.worker_time * len(names)
+        expected = limits.decide_time + limits.worker_time * len(names)
         answer = self._adviser.ask(
             step, names, expected + timing.ADMISSION_SLACK_S
         )
@@ -135,7 +135,7 @@
             gevent.sleep(timing.ADMISSION_PAUSE_S)
             return
         now = clocks.read_steady()
-        valid = (answer.valid or advice.valid) - timing.ADMISSION_MARGIN_S
+        valid = (answer.valid or limits.valid) - timing.ADMISSION_MARGIN_S
         self._expiry[step] = now + max(valid, timing.ADMISSION_MARGIN_S)
         denied = set(names) - answer.tickets.keys()
         self._denied.setdefault(step, set()).update(denied)
--- a/src/rackvalve/manager/contact.py
+++ b/src/rackvalve/manager/contact.py
@@ -139,7 +139,7 @@
         outcome = self._call(
             self._client.hold,
             lease_until=until,
-            acknowledged=self._worker.acknowledged(self._owner.durable),
+            acknowledged=self._worker.find_acknowledged(self._owner.durable),
             wait=wait,
             timeout=self._patience,
         )
@@ -197,7 +197,7 @@
         """Let the ends of the last report come into the store first."""
         until = clocks.read_steady() + timing.RECORD_WAIT_S
         while True:
-            self._worker.acknowledged(self._owner.durable)
+            self._worker.find_acknowledged(self._owner.durable)
             left = until - clocks.read_steady()
             if not self._worker.unrecorded or left <= 0:
                 return
@@ -300,7 +300,7 @@
         return shown + timing.WORKER_LEASE_S
 
     def _try_start(
-        self, placed: workers.Placed, until: float | None
+        self, placed: workers.PlacedRun, until: float | None
     ) -> clients.Outcome:
         if until is None:
             return connections.NoAnswer(reason="no lease to give", sent=False)
--- a/src/rackvalve/scheduling/failure_detector.py
+++ b/src/rackvalve/scheduling/failure_detector.py
@@ -15,7 +15,7 @@
 
 from rackvalve.scheduling import book as books
 from rackvalve.scheduling import listings
-from rackvalve.scheduling import upkeep as upkeeps
+from rackvalve.scheduling import maintenance as maintenances
 from rackvalve.scheduling import workers
 
 # A worker that has not answered for this long is worth a look at the
@@ -36,12 +36,12 @@
     """Looks at the answers of all workers and at the platform's list.
 
     :param book: The book with the workers.
-    :param upkeep: Has the platform's list of VMs.
+    :param maintenance: Has the platform's list of VMs.
     """
 
     __slots__ = (
         "_book",
-        "_upkeep",
+        "_maintenance",
         "_listings",
         "_since",
         "_lost",
@@ -50,9 +50,11 @@
         "has_overdue",
     )
 
-    def __init__(self, book: books.Book, upkeep: upkeeps.Upkeep) -> None:
+    def __init__(
+        self, book: books.Book, maintenance: maintenances.MaintenancePlanner
+    ) -> None:
         self._book = book
-        self._upkeep = upkeep
+        self._maintenance = maintenance
         self._listings = listings.Listings()
         # When each worker was first seen here, in seconds.
         self._since: dict[str, float] = {}
@@ -72,8 +74,8 @@
         :return: Workers that were newly found to be lost.
         """
         self._listings.take(
-            self._upkeep.vms,
-            self._upkeep.read,
+            self._maintenance.vms,
+            self._maintenance.read,
             {worker.life.worker for worker in self._book.workers.values()},
         )
         # Also those that only records name: their entries are gone.
@@ -114,11 +116,11 @@
 
     def _last_heard(self, worker: workers.WorkerState) -> float:
         """Return when a worker has answered last, or was first seen."""
-        return max(worker.heard, self._since[worker.identity])
+        return max(worker.last_answer_at, self._since[worker.identity])
 
     def _last_sign(self, worker: workers.WorkerState) -> float:
         """Return the last time that an answer, or its entry, tells of."""
-        return max(worker.answered, self._since[worker.identity])
+        return max(worker.last_alive_at, self._since[worker.identity])
 
     def _release(self, worker: workers.WorkerState) -> bool:
         """Let the lease of a worker be over if the lists prove its life over.
@@ -129,7 +131,7 @@
         alive = self._last_sign(worker)
         vm = worker.location.vm
         if not self._listings.prove_over(
-            worker.life.worker, vm, began=worker.began, alive=alive
+            worker.life.worker, vm, began=worker.earliest_start, alive=alive
         ):
             return False
         worker.note_lost()
--- a/src/rackvalve/scheduling/placement.py
+++ b/src/rackvalve/scheduling/placement.py
@@ -44,7 +44,7 @@
         self,
         step: definition.Step,
         task: progress.Task,
-        need: fleet.Room,
+        need: fleet.Resources,
         used: collections.Counter[str],
         *,
         now: float,
@@ -131,7 +131,7 @@
     :return: A worker for each of the tasks; fewer if there is no room.
     """
     step = state.step_of(tasks[0].name)
-    need = fleet.need_of(step)
+    need = fleet.get_resource_request(step)
     chosen: list[workers.WorkerState] = []
     for task in tasks:
         worker = view.choose(
@@ -154,7 +154,7 @@
     return chosen
 
 
-def bears(
+def could_fit(
     worker: workers.WorkerState,
     step: definition.Step,
     tickets: dict[str, str] | None,
@@ -170,7 +170,7 @@
         return False
     if tickets is not None and worker.identity not in tickets:
         return False
-    return entry.capacity.fits(fleet.need_of(step))
+    return entry.capacity.fits(fleet.get_resource_request(step))
 
 
 def _allows(
@@ -198,7 +198,7 @@
     """Rate a worker for a task; less is better."""
     entry = worker.entry
     assert entry is not None
-    suspect = worker.suspect_until > now
+    suspect = worker.backoff_until > now
     away_from_data = bool(step.data_rack) and entry.rack != step.data_rack
     capacity = entry.capacity
     load = 1 - min(
@@ -207,7 +207,7 @@
     )
     crowd = float(used[worker.identity]) if step.lasting else 0.0
     # A lasting task would have to move once more.
-    leaves = float(step.lasting and worker.leaves_later)
+    leaves = float(step.lasting and worker.maintenance_pending)
     neighbours = _count_unfit_neighbours(worker, step)
     strangers = float(crashes.count_conflicting_runs(worker, state, task))
     return (
--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -130,22 +130,24 @@
         """
         released: list[releases.Release] = []
         for worker in list(self._book.workers.values()):
-            if worker.runs and worker.is_over(now):
-                over = endings.release_over(self._book, worker, now, wall)
+            if worker.runs and worker.is_expired(now):
+                over = endings.release_expired(self._book, worker, now, wall)
                 released.append(over)
                 continue
             for placed in list(worker.runs.values()):
                 self._check_run(worker, placed, now)
             if self._is_silent(worker, now):
                 self._copy_runs(worker, now)
-            self._book.speeds.judge(worker, self._book.durations, now)
+            self._book.speeds.detect_slowness(
+                worker, self._book.durations, now
+            )
             if now < worker.slow_until:
                 self._move_stragglers(worker, now)
         return released
 
     def _is_silent(self, worker: workers.WorkerState, now: float) -> bool:
         """Return whether a worker has not answered this owner for a while."""
-        heard = max(worker.heard, self._book.began)
+        heard = max(worker.last_answer_at, self._book.owned_since)
         return now - heard > self._limits.freshness
 
     def _copy_runs(self, worker: workers.WorkerState, now: float) -> None:
@@ -159,7 +161,7 @@
         views: dict[str, placement.PoolView] = {}
         for placed in list(worker.runs.values()):
             queue = self._book.queues.get(placed.state.queue)
-            if queue is None or queue.advice is not None:
+            if queue is None or queue.admission is not None:
                 continue
             if not _may_copy(placed):
                 continue
@@ -168,7 +170,7 @@
             self._place_copy(views[queue.pool], placed, now)
 
     def _place_copy(
-        self, view: placement.PoolView, placed: workers.Placed, now: float
+        self, view: placement.PoolView, placed: workers.PlacedRun, now: float
     ) -> None:
         state, task, step = placed.state, placed.task, placed.step
         if not self._starter.count_allowed(state, step, 1):
@@ -189,7 +191,7 @@
             if run.stop_wanted or not speeds.is_comparable(placed):
                 continue
             rest = speeds.estimate_rest(run)
-            usual = self._book.speeds.expect(placed)
+            usual = self._book.speeds.estimate_typical(placed)
             if rest is None or usual is None or rest < usual + RESTART_S:
                 continue
             if not self._has_room_elsewhere(placed, now):
@@ -199,7 +201,9 @@
                 placed.state, placed.task, run, "its worker is slow"
             )
 
-    def _has_room_elsewhere(self, placed: workers.Placed, now: float) -> bool:
+    def _has_room_elsewhere(
+        self, placed: workers.PlacedRun, now: float
+    ) -> bool:
         """Return whether another worker could take a run's task now."""
         entry = self._book.workers[placed.run.worker].entry
         if entry is None:
@@ -211,7 +215,10 @@
         )
 
     def _check_run(
-        self, worker: workers.WorkerState, placed: workers.Placed, now: float
+        self,
+        worker: workers.WorkerState,
+        placed: workers.PlacedRun,
+        now: float,
     ) -> None:
         run = placed.run
         if run.stop_wanted:
@@ -220,7 +227,7 @@
             reason = "its job has ended"
         elif self._is_stalled(worker, placed, now):
             placed.task.avoid.add(worker.identity)
-            worker.suspect_until = max(worker.suspect_until, now + STALL_S)
+            worker.backoff_until = max(worker.backoff_until, now + STALL_S)
             reason = "it makes no progress"
         elif self._must_leave(worker, placed, now):
             reason = "its worker leaves"
@@ -229,10 +236,13 @@
         self._book.stop(placed.state, placed.task, run, reason)
 
     def _is_stalled(
-        self, worker: workers.WorkerState, placed: workers.Placed, now: float
+        self,
+        worker: workers.WorkerState,
+        placed: workers.PlacedRun,
+        now: float,
     ) -> bool:
         run = placed.run
-        fresh = now - worker.answered <= self._limits.freshness
+        fresh = now - worker.last_alive_at <= self._limits.freshness
         if run.stage is not progress.Stage.CONFIRMED or not fresh:
             return False
         if run.confirmed_at is None or placed.step.gang:
@@ -242,11 +252,11 @@
         since = max(run.percent_since, run.confirmed_at)
         return now - since > STALL_S
 
-    def _is_late(self, placed: workers.Placed, now: float) -> bool:
+    def _is_late(self, placed: workers.PlacedRun, now: float) -> bool:
         """Return whether a lasting task is better started elsewhere."""
         run = placed.run
         waited = now - run.percent_since
-        if run.percent >= eviction.AT_WORK_PERCENT:
+        if run.percent >= eviction.READY_PERCENT:
             return False
         if waited <= LASTING_START_S:
             return False
@@ -255,17 +265,20 @@
         return eviction.may_evict(self._book, placed, now)
 
     def _must_leave(
-        self, worker: workers.WorkerState, placed: workers.Placed, now: float
+        self,
+        worker: workers.WorkerState,
+        placed: workers.PlacedRun,
+        now: float,
     ) -> bool:
         """Return whether a run is better moved off a worker that will end."""
         if not placed.step.lasting:
             return False
         if worker.entry is not None and worker.entry.draining:
             return True
-        if worker.gone_since is None:
+        if worker.entry_missing_since is None:
             return False
         # It serves on, but will end as one does that said so.
-        missing = now - worker.gone_since > self._limits.entry_grace
+        missing = now - worker.entry_missing_since > self._limits.entry_grace
         return missing and eviction.may_evict(self._book, placed, now)
 
     def list_members(self, pool: str, now: float) -> list[workers.WorkerState]:
@@ -276,7 +289,7 @@
         """
         members = [
             worker
-            for worker in self._book.members.find(pool)
+            for worker in self._book.workers_by_pool.find(pool)
             if worker.takes_work(now, self._limits.freshness)
         ]
         quick = [worker for worker in members if now >= worker.slow_until]
@@ -307,12 +320,12 @@
         planned = self._isolator.plan(view, states, now)
         # Needs that found no room in this round; greater ones find none
         # either.
-        full: list[fleet.Room] = []
+        full: list[fleet.Resources] = []
         for state in states:
             by_step = _group_ready(state, now)
             for (repetition, number), tasks in by_step.items():
                 step = state.job.steps[number]
-                need = fleet.need_of(step)
+                need = fleet.get_resource_request(step)
                 if any(_covers(need, other) for other in full):
                     continue
                 allowed = self._starter.count_allowed(state, step, len(tasks))
@@ -333,7 +346,7 @@
     ) -> bool:
         """Return whether only room decides where a step's tasks may go."""
         special = step.most_per_worker or step.labels or step.gang
-        return not special and self._book.queues[state.queue].advice is None
+        return not special and self._book.queues[state.queue].admission is None
 
     def _plan_step(
         self,
@@ -343,7 +356,7 @@
         repetition: int,
         number: int,
         tasks: list[progress.Task],
-        need: fleet.Room,
+        need: fleet.Resources,
         now: float,
     ) -> int:
         used = starters.count_used(state, repetition, number)
@@ -406,13 +419,13 @@
             due = first * state.job.interval
             return (float(queue.priority), grade, state.arrived + due)
         grade = objectives.grade(self._book, state, queue, now)
-        if objectives.is_passed_over(state, now):
+        if objectives.is_starved(state, now):
             grade = objectives.Grade.IN_TIME
         objective = objectives.estimate_objective(self._book, state, queue)
         return (float(queue.priority), grade, state.arrived + objective)
 
 
-def _may_copy(placed: workers.Placed) -> bool:
+def _may_copy(placed: workers.PlacedRun) -> bool:
     """Return whether a second run of a task may start beside this one."""
     step, task = placed.step, placed.task
     if not step.copies_allowed or step.gang or step.lasting:
@@ -425,7 +438,7 @@
     return len(task.runs) == 1
 
 
-def _covers(need: fleet.Room, other: fleet.Room) -> bool:
+def _covers(need: fleet.Resources, other: fleet.Resources) -> bool:
     """Return whether a need is in all ways at least another one."""
     return need.fits(other)
 
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -1,8 +1,7 @@
-"""Plays a day: the product decides, models of workers carry it out.
+"""Simulates a day: the product decides, models of workers carry it out.
 
-No sockets and no clock: events come in order of their time, so that the same
-seed gives the same day.  What is modelled is what decisions depend on: room,
-leases, moves that take their time, silence, owners that are away.
+It uses no sockets and no clock, so that a seed always gives the same day.  The
+models have capacity, leases, slow moves, silent workers and absent owners.
 """
 
 from __future__ import annotations
@@ -20,21 +19,20 @@
 from rackvalve.scheduling import book as books
 from rackvalve.scheduling import endings
 from rackvalve.scheduling import fleet
+from rackvalve.scheduling import maintenance as maintenances
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import planner as planners
 from rackvalve.scheduling import queues
 from rackvalve.scheduling import reports
 from rackvalve.scheduling import sizing as sizings
-from rackvalve.scheduling import upkeep as upkeeps
 from tools.emulator import effects
 from tools.emulator import loads
 from tools.emulator import plans
 from tools.emulator import vms
 
 SPARE = "spare"
-# Times as the product's logs showed them on the users' machines, in seconds:
-# from a plan to its record, from an order to a move to its start, from a new
-# life to its first report.
+# Times in the users' logs, in seconds: plan to its record, order to the VM's
+# move, start of a worker to its first report.
 RECORD_S = 0.015
 ORDER_S = 0.08
 APPEAR_S = 0.25
@@ -90,9 +88,9 @@
                 entry_grace=timing.ENTRY_GRACE_S,
             ),
         )
-        self.upkeep = upkeeps.Upkeep(self.book)
-        self.silence = policy.silence(self.book, self.upkeep)
-        self.sizing = sizings.Sizing(self.book, self.upkeep, self.silence)
+        self.maintenance = maintenances.MaintenancePlanner(self.book)
+        self.silence = policy.silence(self.book, self.maintenance)
+        self.sizing = sizings.Sizer(self.book, self.maintenance, self.silence)
         self.vms = {
             f"m{n}": vms.Vm(
                 f"m{n}",
@@ -117,8 +115,6 @@
         self.result.jobs = list(self._jobs.values())
         return self.result
 
-    # -- events ------------------------------------------------------------
-
     def at(self, when: float, function: Callable[[], None]) -> None:
         """Have something done at a time.
 
@@ -216,7 +212,7 @@
     def _record(
         self, name: str, planned: list[tuple[definition.TaskName, int]]
     ) -> None:
-        self.book.take_recorded(name, planned, self.now)
+        self.book.order_recorded(name, planned, self.now)
         self._send()
 
     def _send(self) -> None:
@@ -243,15 +239,17 @@
 
     def _forget_gone(self, now: float) -> None:
         for name, worker in list(self.book.workers.items()):
-            is_gone = name not in self._by_worker and worker.is_over(now)
-            if is_gone and now - worker.answered > timing.ENTRY_GRACE_S:
-                endings.end_life(self.book, name, "gone", now=now, wall=now)
+            is_gone = name not in self._by_worker and worker.is_expired(now)
+            if is_gone and now - worker.last_alive_at > timing.ENTRY_GRACE_S:
+                endings.end_incarnation(
+                    self.book, name, "gone", now=now, wall=now
+                )
 
     def _care(self) -> None:
         if not self._is_away():
-            self.upkeep.take_list(self._list(), self.now)
+            self.maintenance.take_list(self._list(), self.now)
             self.silence.check(self.now)
-            for maintain in self.upkeep.decide(
+            for maintain in self.maintenance.decide(
                 self.now,
                 short=self.sizing.is_short,
                 reserved=self.sizing.count_reserved(self.now),
@@ -267,18 +265,18 @@
         self.at(self.now + timing.CARE_INTERVAL_S, self._care)
 
     def _apply_closing(self) -> None:
-        waves = self.upkeep.leaving()
-        surplus = self.sizing.leaving()
-        later = self.upkeep.later()
+        waves = self.maintenance.list_leaving()
+        surplus = self.sizing.list_leaving()
+        later = self.maintenance.list_pending()
         departing = self.sizing.departing()
         for worker in self.book.workers.values():
             vm = worker.entry.vm if worker.entry is not None else ""
-            worker.closing = ""
+            worker.close_reason = ""
             if vm in waves:
-                worker.closing = upkeeps.CLOSED
+                worker.close_reason = maintenances.CLOSED
             elif vm in surplus or worker.identity in departing:
-                worker.closing = sizings.SURPLUS
-            worker.leaves_later = vm in later
+                worker.close_reason = sizings.SURPLUS
+            worker.maintenance_pending = vm in later
 
     # -- VMs and workers ---------------------------------------------------
 
@@ -330,14 +328,14 @@
         vm.pool = pool
         self.at(self.now + MOVE_S + APPEAR_S, functools.partial(_up, self, vm))
 
-    def _maintain(self, order: upkeeps.MaintainVm) -> None:
+    def _maintain(self, order: maintenances.MaintainVm) -> None:
         vm = self.vms[order.vm]
         if not vm.up:
-            self.upkeep.note_refused(order, self.now, for_good=False)
+            self.maintenance.note_refused(order, self.now, for_good=False)
             return
         self.kill(vm)
         vm.condition = fleet.Condition.MAINTAINED
-        self.upkeep.note_ordered(order, self.now)
+        self.maintenance.note_ordered(order, self.now)
         when = self.now + MAINTENANCE_S + APPEAR_S
         self.at(when, functools.partial(_up, self, vm))
 
@@ -365,7 +363,7 @@
         known = self.book.workers[worker.identity]
         known.note_extension(self.now, timing.WORKER_LEASE_S)
         ended, worker.ended = worker.ended, []
-        self.handler.take(
+        self.handler.apply(
             known,
             messages.Report(
                 sent=self.now,
@@ -401,7 +399,7 @@
         known = self.book.workers[vm.worker.identity]
         placed = known.runs.get((full, order.run))
         if placed is not None:
-            self.book.take_start(
+            self.book.apply_start_result(
                 placed,
                 messages.StartResult.STARTED,
                 uncertain=False,
@@ -488,7 +486,7 @@
                 attempts=3,
                 stretch=1.6,
                 allowance=0.6,
-                advice=None,
+                admission=None,
             )
             for name in pools
         ),
--- a/tools/experiments/shares.py
+++ b/tools/experiments/shares.py
@@ -32,7 +32,7 @@
     attempts=1,
     stretch=2.0,
     allowance=1.0,
-    advice=None,
+    admission=None,
 )
 
 
@@ -46,7 +46,7 @@
             account.Workspace(
                 name=f"w{number}",
                 rate=5.0,
-                bound=fleet.Room(cpu=10**9, memory=10**9, gpu=0),
+                bound=fleet.Resources(cpu=10**9, memory=10**9, gpu=0),
                 keys=frozenset(
                     credentials.digest(f"k{number}-{n}") for n in range(KEYS)
                 ),
@@ -81,7 +81,7 @@
     book = books.Book(configuration, inherited_lease=0.0, now=NOW)
     worker = book.set_entry(_make_entry())
     worker.established = True
-    worker.answered = NOW
+    worker.last_alive_at = NOW
     planner = planners.Planner(
         book,
         planners.Limits(
@@ -119,7 +119,7 @@
         rack="",
         hall="h",
         labels=frozenset(),
-        capacity=fleet.Room(cpu=10**6, memory=10**6, gpu=0),
+        capacity=fleet.Resources(cpu=10**6, memory=10**6, gpu=0),
         draining=False,
         remaining=None,
     )
