--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -272,8 +272,8 @@
         if worker is not None:
             worker.drop(placed)
         if placed.task.runs.pop(placed.run.number, None) is not None:
-            ask = fleet.get_charge(placed.step)
-            self.usage.drop(placed.state.workspace, ask)
+            charge = fleet.get_charge(placed.step)
+            self.usage.drop(placed.state.workspace, charge)
         placed.state.requeue(placed.task, now + delay)
         self.mark_changed(placed.state)
 
@@ -448,8 +448,8 @@
         self, state: progress.JobState, task: progress.Task
     ) -> None:
         """Count a run against its workspace's bound, also before it starts."""
-        ask = fleet.get_charge(state.step_of(task.name))
-        self.usage.add(state.workspace, ask)
+        charge = fleet.get_charge(state.step_of(task.name))
+        self.usage.add(state.workspace, charge)
 
     def _drop_planned(
         self,
