--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -83,7 +83,7 @@
         self.closures = closures.Closures()
         self.queues = {queue.name: queue for queue in configuration.queues}
         self.jobs: dict[str, progress.JobState] = {}
-        # Jobs not ended; ended ones, kept for callers, must not cost time.
+        # Jobs not ended; ended ones, kept for callers, must not slow planning.
         self.open_jobs: dict[str, progress.JobState] = {}
         self.workers: dict[str, workers.WorkerState] = {}
         # Several incarnations of a worker may share its name.
@@ -95,7 +95,7 @@
         self.orders: collections.deque[messages.Order] = collections.deque()
         # Jobs that have begun and whose begin is not logged yet.
         self.begun: list[progress.JobState] = []
-        # Jobs whose record must be written, and whether someone waits for it.
+        # Jobs whose records must be written, in order; true if someone waits.
         self.changed: dict[str, bool] = {}
         self.owned_since = now
         self._inherited_until = now + inherited_lease
--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -101,7 +101,7 @@
         :param now: Present time, in seconds.
         :param wall: Present time, seconds since 1970.
         """
-        # A later answer has waited for this process while it was paused.
+        # An answer that comes later waited while this process was paused.
         worker.last_answer_at = min(now, report.sent + self._hold_most)
         # After a pause of this process the answer describes a time before it.
         worker.last_alive_at = min(now, report.sent + self._hold_wait)
