--- a/features/copies.feature
+++ b/features/copies.feature
@@ -1,6 +1,6 @@
-# A hall of a quarter of all VMs was cut off for 5 s in each heavy day: what ran
-# there waited 4.4 s for the end of its leases, with tasks of 0.6 s and jobs that
-# bear to wait for 1.4 s.  Three of ten quick jobs bear two runs of a task.
+# When a hall with a quarter of all VMs was cut off for 5 s, its runs waited 4.4 s
+# for their leases to expire, although their tasks take 0.6 s and their jobs can
+# wait for 1.4 s.  Three of ten quick jobs allow two runs of a task.
 Feature: What may run twice starts elsewhere once its worker is silent
 
   Scenario: A task that bears copies starts elsewhere before its lease is over
--- a/features/evacuation.feature
+++ b/features/evacuation.feature
@@ -1,5 +1,5 @@
-# Tasks were started in halls that the operator had asked to be emptied, 3,735 times
-# on a day of the users: nothing read what it had asked.
+# No process read which halls the operator had asked to evacuate: tasks were
+# started in such halls 3,735 times in a day.
 Feature: Nothing is started in a hall that is evacuated
 
   Scenario: The halls that are evacuated follow what the operator has written
--- a/features/steps/copy_steps.py
+++ b/features/steps/copy_steps.py
@@ -1,4 +1,4 @@
-"""Steps about second runs of what a silent worker may never end."""
+"""Steps about second runs of tasks on silent workers."""
 
 from __future__ import annotations
 
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what is lost, out of reach or slow."""
+"""Steps about lost, unreachable and slow VMs and workers."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def pass_time(context, seconds):
-    """Let VMs be listed, workers answer, and everything be decided."""
+    """Let time pass: list VMs, let workers answer, decide and plan."""
     bench = context.bench
     until = bench.now + seconds
     while bench.now < until:
@@ -71,7 +71,7 @@
         )
         assert placed.run.worker == context.lost
     context.listed[context.lost] = vms.list_vm(context.lost, **listed)
-    # Room for them elsewhere.
+    # Resources for its tasks elsewhere.
     context.bench.book.set_entry(
         models.FakeWorker(
             models.World(), "another", models.Rules(), 1.0
@@ -289,12 +289,12 @@
 
 
 @behave.given('a life "{name}" on the VM "{vm}", last heard at {heard:d} s')
-def make_life(context, name, vm, heard):
+def make_incarnation(context, name, vm, heard):
     context.life = (name, vm, float(heard))
 
 
 @behave.given('a life "{name}" on the VM "", last heard at {heard:d} s')
-def make_placeless_life(context, name, heard):
+def make_incarnation_without_vm(context, name, heard):
     context.life = (name, "", float(heard))
 
 
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -23,11 +23,11 @@
 SPARE = "spare"
 HALL_KEY = PREFIX + "hall-1"
 STEP = definition.Step(tasks=6, cpu=1)
-# Between the operator's wish and the least that the users allow.
-SETTLE_S = 1.0
+# Time after an evacuation is ordered within which starts are still allowed.
+EVACUATION_DELAY_S = 1.0
 
 
-def ask(revision, hall):
+def make_item(revision, hall):
     return stores.Item(
         key=PREFIX + hall, payload=b"{}", revision=revision, created=revision
     )
@@ -44,18 +44,20 @@
 
 
 CHANGES = {
-    "a and b are read": lambda v: v.apply_range((ask(1, "a"), ask(2, "b"))),
-    "a is asked": lambda v: change(v, [ask(3, "a")]),
+    "a and b are read": lambda v: v.apply_range(
+        (make_item(1, "a"), make_item(2, "b"))
+    ),
+    "a is asked": lambda v: change(v, [make_item(3, "a")]),
     "a is taken back": lambda v: change(v, [], [(4, "a")]),
     "a is asked and taken back": lambda v: change(
-        v, [ask(5, "a")], [(6, "a")]
+        v, [make_item(5, "a")], [(6, "a")]
     ),
     "b is taken back and asked": lambda v: change(
-        v, [ask(8, "b")], [(7, "b")]
+        v, [make_item(8, "b")], [(7, "b")]
     ),
-    "only c is read": lambda v: v.apply_range((ask(9, "c"),)),
+    "only c is read": lambda v: v.apply_range((make_item(9, "c"),)),
     "nothing is read": lambda v: v.apply_range(()),
-    "one without a name is read": lambda v: v.apply_range((ask(9, ""),)),
+    "one without a name is read": lambda v: v.apply_range((make_item(9, ""),)),
 }
 
 
@@ -71,7 +73,7 @@
 
 
 def put_in_hall(bench, name, hall):
-    """Have a worker say that it is in a hall."""
+    """Set the hall in a worker's entry."""
     entry = bench.book.workers[name].entry
     bench.book.set_entry(dataclasses.replace(entry, hall=hall))
 
@@ -103,7 +105,7 @@
 
 
 @behave.when("hall a is taken back and the job is planned")
-def take_back(context):
+def end_evacuation(context):
     context.bench.book.set_evacuated(frozenset())
     plan(context)
 
@@ -185,7 +187,7 @@
 def evacuate_all(context):
     site = context.own_fleet
     site.order({"put": HALL_KEY, "value": {}})
-    time.sleep(SETTLE_S)
+    time.sleep(EVACUATION_DELAY_S)
     site.owner()["process"].kill()
     for _ in range(4):
         site_steps.submit(context)
@@ -198,5 +200,5 @@
 
 
 @behave.when("the hall is taken back")
-def take_hall_back(context):
+def end_hall_evacuation(context):
     context.own_fleet.order({"drop": HALL_KEY})
--- a/features/steps/sizing_steps.py
+++ b/features/steps/sizing_steps.py
@@ -26,7 +26,7 @@
 )
 def make_busy_pool(context, count, spares):
     vms.make_sizing(context, count, spares)
-    # As many VMs as the pool keeps for this demand.
+    # As much demand as makes the pool keep all its VMs.
     busy = int((count - sizing.RESERVE_VMS) / sizing.HEADROOM)
     context.bench.add(definition.Step(tasks=busy, cpu=vms.WIDE.cpu))
     context.bench.start_all()
@@ -47,7 +47,7 @@
 
 
 @behave.when("work for {count:d} VMs waits")
-def want_room(context, count):
+def add_work(context, count):
     context.state = context.bench.add(
         definition.Step(tasks=count, cpu=vms.WIDE.cpu)
     )
@@ -107,14 +107,16 @@
         )
         if number % count == count - 1:
             context.moves.extend(vms.step_sizing(context, 0.1))
-    context.come = 8 * count
-    context.rate = context.come / (context.bench.now - began)
+    context.arrived_jobs = 8 * count
+    context.rate = context.arrived_jobs / (context.bench.now - began)
 
 
 @behave.then("VMs for {part:d} % of what will come in 1.6 s are on their way")
 def check_expected(context, part):
     ordered = len(context.names) + len(context.moves)
-    coming = context.come + part / 100 * context.rate * forecast.LEAD_TIME_S
+    coming = (
+        context.arrived_jobs + part / 100 * context.rate * forecast.LEAD_TIME_S
+    )
     assert abs(ordered - coming) <= 5, (ordered, coming)
 
 
@@ -142,7 +144,7 @@
 
 
 @behave.when("it gives a VM away and at once lacks room")
-def give_and_want(context):
+def release_and_add_work(context):
     moves = vms.step_sizing(context, forecast.PEAK_WINDOW_S + 1.0)
     assert moves
     context.gone = {move.vm for move in moves}
@@ -183,7 +185,7 @@
 
 
 @behave.when("another pool lacks room")
-def want_elsewhere(context):
+def add_work_elsewhere(context):
     queue = dataclasses.replace(
         models.QUEUE, name="other-queue", pool=vms.OTHER
     )
--- a/features/steps/turn_steps.py
+++ b/features/steps/turn_steps.py
@@ -1,4 +1,4 @@
-"""Steps about waves and sizes while demand comes in turns."""
+"""Steps about waves and sizes while demand comes in bursts."""
 
 from __future__ import annotations
 
@@ -48,10 +48,10 @@
 
 
 @behave.when(
-    "a turn has begun {seconds:g} s ago with {count:d} jobs for 1 VM each "
+    "a burst has begun {seconds:g} s ago with {count:d} jobs for 1 VM each "
     "0.1 s"
 )
-def begin_turn(context, seconds, count):
+def begin_burst(context, seconds, count):
     context.moves = vms.step_sizing(context, forecast.RISE_WINDOW_S)
     context.rate = count / TICK_S
     for number in range(round(seconds / TICK_S) * count):
@@ -60,7 +60,7 @@
         )
         if number % count == count - 1:
             context.moves += vms.step_sizing(context, TICK_S)
-    context.come = number + 1
+    context.arrived_jobs = number + 1
 
 
 @behave.when(
@@ -68,7 +68,7 @@
     "begins"
 )
 def begin_rising(context, count, seconds):
-    begin_turn(context, seconds, count)
+    begin_burst(context, seconds, count)
     context.begin()
     context.orders = decide_waves(context)
 
@@ -78,7 +78,7 @@
     spares = sum(1 for vm in context.listed if vm.startswith("s"))
     left = spares - len(context.moves) - len(context.orders)
     have = len(context.names) + len(context.moves)
-    needed = context.come + context.rate * forecast.LEAD_TIME_S - have
+    needed = context.arrived_jobs + context.rate * forecast.LEAD_TIME_S - have
     assert left >= needed, (left, needed)
 
 
@@ -105,7 +105,7 @@
 
 
 @behave.then("the pool is expected to need {count:d} VMs at the most")
-def check_no_turn(context, count):
+def check_no_burst(context, count):
     size = context.sizing.pools[models.POOL]
     assert size.forecast.predict(context.bench.now) <= count
 
@@ -137,7 +137,7 @@
 
 
 def note_overtaken(context, order):
-    """Note the jobs that stand for 3 s as a later one starts."""
+    """Note the queued jobs older than 3 s when a later job starts."""
     arrived = context.bench.book.jobs[order.job].arrived
     for state in context.jobs:
         stands = state.phase is progress.Phase.QUEUED
--- a/features/steps/upkeep_steps.py
+++ b/features/steps/upkeep_steps.py
@@ -1,4 +1,4 @@
-"""Steps about waves, shared workers and admission."""
+"""Steps about maintenance waves, paced tasks and admission."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     context.orders, context.busy = [], []
     context.greatest, context.early = 0, False
     context.lives = {vm: vm for vm in context.vms}
-    # When each VM that is away comes back.
+    # When each VM that is away is back.
     context.back = {}
     state = context.maintenance.waves[1]
     for number in range(600):
@@ -66,7 +66,7 @@
 
 
 def do_work(context):
-    """Start what is planned, end half of it, and let all workers report."""
+    """Start planned tasks, end half of them, and let all workers report."""
     bench = context.bench
     for order in bench.start_all():
         # Half of the tasks end at once, the others later.
@@ -78,19 +78,19 @@
 
 
 def maintain_chosen(context):
-    """Carry out the orders to VMs, and note what ran on them."""
-    bench, care = context.bench, context.maintenance
-    for order in care.decide(bench.now):
+    """Carry out the orders to VMs, and note the runs on them."""
+    bench, planner = context.bench, context.maintenance
+    for order in planner.decide(bench.now):
         worker = bench.book.workers[context.lives[order.vm]]
         context.busy.extend(worker.runs)
         context.orders.append(order.vm)
-        care.note_ordered(order, bench.now)
+        planner.note_ordered(order, bench.now)
         bench.end_life(worker.identity)
         context.back[order.vm] = bench.now + AWAY_S
 
 
 def bring_back(context):
-    """Begin new lives on VMs whose maintenance is over."""
+    """Start new incarnations on VMs whose maintenance is over."""
     bench, lives = context.bench, context.lives
     for vm, time in list(context.back.items()):
         if bench.now >= time:
@@ -108,14 +108,14 @@
 
 
 def close_and_list(context):
-    """Tell workers whether they are closed, and list all VMs."""
-    bench, care = context.bench, context.maintenance
+    """Close or reopen workers by their VMs, and list all VMs."""
+    bench, planner = context.bench, context.maintenance
     for worker in bench.book.workers.values():
         vm = worker.entry.vm
         worker.close_reason = (
-            maintenance.CLOSED if vm in care.list_leaving() else ""
+            maintenance.CLOSED if vm in planner.list_leaving() else ""
         )
-    care.take_list(
+    planner.take_list(
         [
             vms.list_vm(vm, worker=life, up=vm not in context.back)
             for vm, life in context.lives.items()
@@ -231,7 +231,7 @@
 )
 def block_wave(context):
     bench = context.bench
-    # One task more than there is room for.
+    # One task more than fits.
     step = definition.Step(
         tasks=len(context.vms) + 1,
         cpu=models.CAPACITY.cpu,
@@ -241,7 +241,7 @@
     bench.add(step)
     for order in bench.start_all():
         bench.placed(order).run.percent = 100.0
-    # For how long each VM has been closed, and the longest time of all.
+    # For how long each VM has been closed, and the longest such time.
     closed, context.stretch, context.ever = {}, 0.0, set()
     for _ in range(600):
         bench.now += 0.1
@@ -358,7 +358,7 @@
 
 
 @behave.when("its tail is {tail:d} ms and the pace is {pace:d}")
-def press(context, tail, pace):
+def set_tail(context, tail, pace):
     context.placed["1"].run.load = float(tail)
     context.placed["2"].run.pace = pace
     context.orders = pacing.set_paces(
--- a/features/upkeep.feature
+++ b/features/upkeep.feature
@@ -41,8 +41,8 @@
       | gone back by 5 s    | 18   |
       | jumped ahead by 5 s | 11   |
 
-  # Read in the code: a VM that a wave had closed stayed closed for as long as
-  # a lasting step could spare no task of it, while its pool's jobs waited.
+  # A VM that a wave had closed stayed closed for as long as a lasting step could
+  # spare no task on it, while its pool's jobs waited.
   Scenario: A VM that cannot be vacated for a wave goes back into use
     Given a pool of 6 VMs and a wave over all of them that bears 2 away
     When each VM runs a task of a step of which another one is away for good
@@ -146,24 +146,23 @@
     Then it leaves that VM alone for 1 second more
     And a VM whose order is on its way for 3 seconds
 
-  # Seen: on a deployment where the platform does not check tokens, more tasks
-  # of a lasting step were away than it bears.  An owner ordered an empty VM to
-  # move and was replaced; the order was still on its way.  The next owner gave
-  # that VM no orders for a while, but placed tasks on it, and the order ended
-  # them.  Read in the code, and proved by this scenario.
+  # Where the platform does not check fencing tokens, more tasks of a lasting step
+  # were away than it allows.  An owner ordered an empty VM to move and was
+  # replaced while the order was under way.  The next owner gave that VM no orders
+  # for a while, but placed tasks on it, and the order ended them.
   Scenario: The next owner places no task on a VM whose order may still come
     Given an owner whose order to move a VM is on its way
     When another owner takes over, with a pause of 3 seconds, and work waits
     Then no task is placed on that VM in the pause, and one after it
 
-  Scenario: The next owner places no task on a VM whose upkeep may still come
+  Scenario: The next owner places no task on a VM whose maintenance may still come
     Given an owner whose order to maintain a VM is on its way
     When another owner takes over, with a pause of 3 seconds, and work waits
     Then no task is placed on that VM in the pause, and one after it
 
-  # The same by two more ways, read in the code: the next owner's first order
-  # overwrote the record of the one before; and an owner reopened a VM whose
-  # order it had given up, though the platform had never answered.
+  # Two more causes of the same failure: the next owner's first order overwrote
+  # the record of the previous one; and an owner reopened a VM after it gave up
+  # an order to it that the platform had never answered.
   Scenario Outline: An order on its way is remembered by <whom>
     Given an owner whose order to move a VM is on its way
     When <what> and work waits
@@ -179,8 +178,8 @@
     When another owner takes over and a worker comes to the new pool on that VM
     Then a task is placed there at once
 
-  # A record that told of orders of long ago made each next owner leave their
-  # VMs alone anew, though the one before had waited for them.
+  # A record of orders from long ago made each next owner hold back their VMs
+  # again, though the previous owner had already waited for them.
   Scenario: An order older than the pause is told to no next owner
     Given an owner whose order to move a VM is on its way
     When another owner takes over, with a pause of 3 seconds, and work waits
@@ -191,8 +190,8 @@
     When it gives an order to a VM
     Then the same order was sent 3 times and has succeeded
 
-  # Four waves over all VMs were open at once: a pool with a demand of half a VM
-  # kept 6 and wanted 30, and the jobs of another one stood still for 9.7 s.
+  # With four waves over all VMs at once, a pool with a demand of half a VM kept 6
+  # and asked for 30, and the jobs of another pool were stalled for 9.7 s.
   Scenario: A pool of spread tasks keeps no more for a wave than it may close
     Given a pool of 8 VMs and 4 spare VMs
     When a lasting step of 14 small tasks runs there, at most 2 on a worker
