--- a/features/crashes.feature
+++ b/features/crashes.feature
@@ -1,12 +1,8 @@
-# Two tasks crashed each worker that started them.  They were started again
-# every 0.8 s for 90 s, across a change of owner, each time on another worker,
-# and each crash took some ten runs of other jobs with it.  A worker that
-# crashes tells nothing; what ran there was released by proof, and a release
-# put the task back as if it had never begun: only ends that a worker tells
-# were counted.  Of the hypotheses only this one starts at the same rate with
-# one owner in a calm time as with many, which runs of real processes showed
-# (35 starts in 25 s, 31 with the owner killed three times); run numbers only
-# rose, each with its order, and each end had the same proof.
+# Guards against endless retries of tasks that crash each worker that starts
+# them: two such tasks were started every 0.8 s for 90 s, across a change of
+# owner, and each crash ended some ten runs of other jobs.  A crashed worker
+# reports nothing; its runs were released by proof, and a release queued the
+# task without counting: only ends that a worker reported were counted.
 Feature: A task that crashes each worker that starts it is given up
 
   Scenario: Generated histories keep the bound, whoever owns
@@ -64,10 +60,9 @@
     Then nothing else starts on its worker, and no other task of its job starts
     And after 3.1 s of work its worker takes other tasks, and nothing counts against it
 
-  # Six jobs crashed the VMs of a pool of five, every 0.5 s.  A lasting task was
-  # given up by its fifth crash, though two of its runs had worked for 3 s and
-  # longer than those that had crashed before: work had to be known for over
-  # 3 s.  Its log showed it: crashes at ages of 1.4, 1.3, 0.7, 4.0 and 4.6 s.
+  # A lasting task beside six jobs that crashed their VMs was given up by its
+  # fifth crash, at ages of 1.4, 1.3, 0.7, 4.0 and 4.6 s.  Two of its runs had
+  # worked longer than the earlier ones, but only more than 3 s cleared a task.
   Scenario Outline: A run that is known to have worked for longer than those before clears its task
     Given a task whose runs crashed their workers at an age of <before> s at the most
     When its next run has worked for <work> s when its worker is asked, which is heard <late> s later
@@ -86,10 +81,9 @@
     When it is started beside other tasks
     Then a new owner that reads its record keeps its worker for it too
 
-  # A lasting task was given up beside six jobs that crashed the VMs of a pool of
-  # seven, with owners frozen.  Two crashes counted as in isolation, 4.1 and 4.5 s
-  # after its runs had begun: their workers took other tasks again after 3 s, and
-  # crashed within 1.1 s of the last one that came.  Its log showed both.
+  # A lasting task was given up since two crashes counted as in isolation, 4.1
+  # and 4.5 s after its runs had begun: their workers accepted other tasks again
+  # after 3 s, and crashed within 1.1 s of the last one that started.
   Scenario Outline: A crash <when> counts in isolation: <counts>
     Given a task under which two workers have crashed, and 3 workers
     When it is started beside other tasks
--- a/features/isolation.feature
+++ b/features/isolation.feature
@@ -1,39 +1,38 @@
-# A lasting job that could be done was given up beside six jobs that crashed the
-# VMs of its pool: five workers had crashed under one of its tasks, each beside
-# tasks that crash them.  With real processes it took ordinary jobs as well, up
-# to 17 of 46 in 38 s.  The count of crashes ended a job whatever was known of
-# them, and a suspect that had waited started anywhere, so that the next crash
-# told nothing either.  The journals showed it: in every crash under the jobs
-# that were given up, a task had started on the worker that crashes each one.
+# Guards against giving up harmless jobs for the crashes of others: beside six
+# jobs that crashed the VMs of a pool, up to 17 of 46 others were given up in
+# 38 s, each after five crashes.  The count alone ended a job, and a suspect that
+# had waited started on any worker, so that the next crash showed nothing.
 Feature: A job is given up only for crashes that no other job can have caused
 
-  # Histories that told a caller failed, or started a culprit once too often.
+  # These seeds reported a good job as failed, or started a crashing task once
+  # too often.
   Scenario: Generated histories that gave up a job that could be done
     When the histories run again that gave up a job beside others that crash their workers
     Then no history starts a task three times more after three crashes, or gives up another job
 
-  # Jobs that could be done were told failed within seconds.
+  # Good jobs were shown as failed within seconds.
   Scenario: Beside jobs that crash the VMs of a small pool one after the other
     Given a site of 3 managers with 4 VMs for the jobs
     When 12 jobs crash a worker of the pool every 0.5 s beside jobs that last, start together and end
     Then no job that could be done is shown as failed within 15 s
     And no task that crashes its workers is started three times more after three crashes
 
-  # Five crashes ended its job before.
+  # Five crashes ended the job.
   Scenario: Crashes beside others end no job, however many
     Given 6 workers and a job of 1 task, beside which another one crashes its worker
     When 6 workers crash under both
     Then neither job has ended
 
-  # What counted against neighbours stayed when the culprit was found.
+  # The crashes stayed counted against neighbours when their cause was found.
   Scenario: Two crashes where nothing else ran end a job, and nothing counts against others any more
     Given 4 workers and a job of 1 task, beside which another one crashes its worker
     When 2 workers crash under both
     And the other one crashes a worker where it is alone, twice
     Then the job of the other one is given up
-    And 0 crashes may still be the doing of the first
+    And 0 crashes may still be caused by the first
 
-  # Suspects started beside what had just begun, so that a crash told nothing.
+  # Suspects started beside runs that had just begun, so that a crash did not
+  # show which of them caused it.
   Scenario Outline: After <crashes> crashes a task beside <neighbour> starts <how>
     Given a task under which <crashes> workers have crashed, and one worker with <neighbour>
     When what waits is started
@@ -48,47 +47,48 @@
       | 4       | a task that has just begun  | no  |
       | 1       | a task that has just begun  | yes |
 
-  # It stood still before, or started beside others: no worker of a busy pool is
-  # ever without a task that has just begun.
+  # The task never started, or started beside others: each worker of a busy pool
+  # always has a run that has just begun.
   Scenario: A worker is reserved for a task that must start alone
     Given a task under which 3 workers have crashed, and 2 workers that tasks keep busy
     When the tasks end one after the other, and others wait
     Then the task starts alone on its worker, and the other worker stays busy
 
-  # A worker stood empty for a task that its workspace's bound held back.
+  # A worker stayed empty for a task that its workspace's bound kept waiting.
   Scenario: No worker is reserved for a task that its workspace may not start
     Given a task under which 3 workers have crashed, and 2 workers that tasks keep busy
     And its workspace is at its bound
     When the tasks end one after the other, and others wait, for 20 ends
     Then no worker is reserved, and both are busy
 
-  # A task that crashes after seconds met others by then, and started once more.
+  # A task that crashes after some seconds had other runs beside it by then, so
+  # that the crash did not count in isolation and the task started once more.
   Scenario: The last start that users bear keeps its worker until the task is cleared
     Given a task under which 4 workers have crashed, at an age of 20 s at the most
     When it has worked alone for 15 s beside others that wait
     Then nothing else starts on its worker
     And others do once it has worked for 21 s
 
-  # It told that nothing which is known holds the job.
+  # The reason given was that nothing which is known holds the job.
   Scenario: What waits beside a worker that is kept is told why
     Given a task under which 4 workers have crashed, at an age of 20 s at the most
     When it has worked alone for 2 s beside others that wait
     Then the others are told to have no worker with room, and the worker to be kept
 
-  # Each task of one job took a worker of its own, and crashed it.
+  # Each task of one job started on a worker of its own, and crashed it.
   Scenario: Tasks of a job that must start alone start on one worker
     Given a job of 3 tasks under each of which 3 workers have crashed, and 4 workers
     When what waits is started
     Then its tasks are on one worker, and nothing else is
 
-  # Gangs were given up by five crashes beside others.
+  # Gangs were given up after five crashes beside other jobs.
   Scenario: Members of a gang under which three workers crashed start where nothing else runs
     Given a gang of 6 tasks under which 3 workers have crashed, and 4 workers with a task each
     When these tasks have ended, and others wait
     Then the gang starts on workers of its own
 
-  # With a new owner the search for the culprit began anew.
-  Scenario: What may be to blame is known to the next owner
+  # A new owner began the attribution anew.
+  Scenario: The runs that started last before crashes are known to the next owner
     Given 4 workers and a job of 1 task, beside which another one crashes its worker
     When 2 workers crash under both
     And a new owner reads their records
@@ -114,14 +114,14 @@
     And the worker crashes that it runs on
     Then it is given up, and its reason names one crash
 
-  # A job that works would start alone for as long as the culprit is remembered.
+  # A good job would start alone for as long as the crashing job is remembered.
   Scenario: A good end of one that runs the same, or work for longer, takes the suspicion away
     Given 3 workers, and a job that was given up for crashes
     When one that runs the same is handed in beside others
     And it ends well
     Then the next one that runs the same starts beside others
 
-  # The mark ended with its owner.
+  # A new owner did not match jobs with crashing jobs of earlier owners.
   Scenario: The next owner knows whom a job resembles
     Given 3 workers, and a job that was given up for crashes
     When a new owner reads its record, and then one that runs the same comes
--- a/features/late_ends.feature
+++ b/features/late_ends.feature
@@ -1,8 +1,7 @@
-# The same cause as of tasks that crash their workers: an end was accounted for
-# only where a report told it of a run that was still known.  A run on a silent
-# worker is released once its lease is over; that it had failed before was told
-# later, taken note of, and counted nowhere.  Found by reading; the first two
-# scenarios failed without the mend.
+# Guards against failures that are not counted: an end counted only if its run
+# was still known when it was reported.  A run on a silent worker is released
+# once the worker's lease is over; a failure from before was reported later, was
+# acknowledged, and did not count.
 Feature: A failure that is told after its run was released counts once
 
   Scenario: The worker is back before the owner changes
@@ -25,8 +24,8 @@
     And it tells so once more to the next owner
     Then 1 failure counts against the task
 
-  # The members whose worker had crashed waited for the others to start with
-  # them, for good: those were done.
+  # The members whose worker had crashed waited forever for the others to start
+  # with them: the others were done.
   Scenario Outline: A gang that has ended well on one worker is done when another one crashes <when>
     Given a gang of 2 tasks at work on 2 workers
     When one worker crashes and the other tells the good end <when>
--- a/features/restarts.feature
+++ b/features/restarts.feature
@@ -1,11 +1,9 @@
-# Tasks that must run once were started again after their end had been acknowledged,
-# on workers that had crashed and were back at once under their names.  What was kept
-# of a worker was kept by its name and outlived its life: the next life was told to
-# forget its ends up to the last number of the one before, unread, and a run that it
-# then did not list was taken to have been lost with it.  Proved by real processes: the
-# lives that such ends were on had told none, with 8 to 16 ends of the life before
-# known and 16 runs there; none elsewhere, and none where no worker started again.
-Feature: A worker that starts again under its name is another life
+# Guards against second runs of tasks that have ended, on workers that crash and
+# start again at once under their names.  The owner kept its knowledge of a worker by
+# name: a new incarnation was told to forget its ends up to the last number of the
+# earlier one, before they were read (8 to 16 ends), and a run that it then did not
+# list was taken to have been lost.
+Feature: A worker that starts again under its name is another incarnation
 
   Scenario Outline: Tasks run once beside restarts, with real processes, <when>
     Given a site of 3 managers with 6 VMs for the jobs, <births> told
@@ -22,8 +20,8 @@
       | two of six, calls carried out late | 30   | births    |
       | all at one moment, twice           | 30   | no births |
 
-  # A call that was left unanswered may be carried out by the next life.  A greater
-  # token, which that life is shown first, keeps it from doing so.
+  # A call that was left unanswered may be carried out by the next incarnation.  A
+  # greater token, which that incarnation is sent first, prevents this.
   Scenario: Generated histories with restarts start no task again, or beside itself
     When 200 job histories run in which workers start again under their names
     Then no task starts after its acknowledged end, or beside another run
@@ -50,7 +48,7 @@
     Given a task that runs on a worker which has told 8 ends
     When the worker starts again and <tells>
     Then the task <outcome>
-    And the life before is forgotten
+    And the earlier incarnation is forgotten
 
     Examples:
       | tells                         | outcome                                     |
@@ -63,11 +61,11 @@
   Scenario: A run that was to be stopped is stopped where it is now
     Given a task that runs on a worker which has told 8 ends
     When it is to be stopped, and the worker starts again and lists it
-    Then the later life is told to stop it
+    Then the later incarnation is told to stop it
 
-  Scenario Outline: A record that tells no birth, and a life that <tells>
-    Given a new owner with a record of a run on a worker, without its birth
-    When the worker's present life <tells>
+  Scenario Outline: A record without a start time, and an incarnation that <tells>
+    Given a new owner with a record of a run on a worker, without its start time
+    When the worker's present incarnation <tells>
     Then the task <outcome>
 
     Examples:
@@ -76,29 +74,29 @@
       | does not name it              | waits, and no crash counts against it       |
       | tells its good end as its 1st | is done, and no crash counts against it     |
 
-  Scenario: What is known of a life is not known of the next
+  Scenario: What is known of an incarnation is not known of the next
     Given a worker that is closed, suspected, slow, ordered away and 100 s ahead
     When it has started again and has told what it has
     Then it takes work as a worker that was never seen before
 
-  Scenario: An entry alone ends no life
+  Scenario: An entry alone ends no incarnation
     Given a task that runs on a worker which has told 8 ends
-    When an entry names another birth of the worker, and its life answers on
+    When an entry names another start time of the worker, which still answers
     Then the task runs there, and no crash counts against it
 
-  Scenario Outline: The platform's list and a life that began <age> ago
-    Given a life that began <age> ago, after one that lists have named
+  Scenario Outline: The platform's list and an incarnation that began <age> ago
+    Given an incarnation that began <age> ago, after one that lists have named
     When a list is read right after its last answer and names no worker
-    Then its life is <proved>
+    Then its incarnation is <proved>
 
     Examples:
       | age    | proved          |
       | 1 s    | not proved over |
       | 10 s   | proved over     |
 
-  Scenario Outline: A birth that is <told>
-    Given an entry and a list whose birth is <told>
-    Then it is <taken> for a birth
+  Scenario Outline: A start time that is <told>
+    Given an entry and a list whose start time is <told>
+    Then it is <taken> for a start time
 
     Examples:
       | told                 | taken     |
@@ -112,8 +110,8 @@
       | true                 | not taken |
       | 1e300                | not taken |
 
-  Scenario: A name and a birth make an identity that no other life has
-    Then these lives are read from their identities as they were
+  Scenario: A name and a start time make an identity that no other incarnation has
+    Then these incarnations are read from their identities as they were
       | name   | born | identity  |
       | i-1    | 17   | i-1@17    |
       | i-1    |      | i-1       |
@@ -121,15 +119,14 @@
       | i@     | 4    | i@@4      |
       | i@x    |      | i@x@0     |
 
-  # Found by reading and by the stand-in, not seen at the users: a call names a worker,
-  # and whatever life has the name carries it out.  An owner that does not know of the
-  # next life yet had it start tasks that it took to be on the one before, and forget
-  # their ends unread.
-  Scenario Outline: A call that is meant for a life before is not carried out, <call>
+  # A call names a worker, and whichever incarnation has the name carries it out.  An
+  # owner that did not know of the next incarnation had it start tasks meant for the
+  # earlier one, and forget their ends before they were read.
+  Scenario Outline: A call that is meant for an earlier incarnation is not carried out, <call>
     Given a worker that has answered a hold and an order, and then starts again
-    When its next life has a task that has ended, and is sent <call> meant for the one before
-    Then the answer is that another life is there
-    And the next life has started nothing and keeps its end
+    When its next incarnation has a task that has ended, and is sent <call> meant for the one before
+    Then the answer is that another incarnation is there
+    And the next incarnation has started nothing and keeps its end
 
     Examples:
       | call                                  |
@@ -138,15 +135,15 @@
       | a hold that lets it forget 8 ends     |
       | a start while all answers end their connection |
 
-  # Found by reading: the tickets of a life are of no use to the next one, and until they
-  # ran out nobody asked for others.
+  # The tickets of an incarnation are not valid for the next one, and no others were
+  # requested until they expired.
   Scenario: A step whose admitted worker has started again is asked about again
     Given a step whose only worker is admitted for a minute
     When the worker starts again
-    Then it is asked whether the later life may run the step, and it may
+    Then it is asked whether the later incarnation may run the step, and it may
 
-  Scenario: A record tells births beside the names that earlier releases go by
-    Given a job with runs on two lives of one worker and on one without a birth
+  Scenario: A record has start times beside the names that earlier releases use
+    Given a job with runs on two incarnations of one worker and on one without a start time
     When its record is written and read
-    Then the runs are on the same lives, and the record's runs tell names alone
-    And a record of an earlier release tells of lives without births
+    Then the runs are on the same incarnations, and the record's runs have names alone
+    And a record of an earlier release has incarnations without start times
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -24,9 +24,9 @@
 HISTORY_STEPS = 300
 LAG_S = 0.8
 POOLS = {"lookups": 6, "rebuilds": 2, "spare": 4}
-# A crash at once, as the tasks did that were seen.
+# A task that crashes its worker right after its start.
 CRASHING = "crash_ms=10"
-# When the owner is killed, in seconds after the jobs were handed in.
+# When the owner is killed, in seconds after the jobs were submitted.
 KILLS_AT_S = (1.0, 3.0, 5.0)
 GIVEN_UP_S = 20.0
 
@@ -110,10 +110,10 @@
         if row[1] == "start"
     )
     found = {one: (states[one], starts[one]) for one in context.crashing}
-    good = all(
+    is_bounded = all(
         state == "failed" and count <= most for state, count in found.values()
     )
-    assert good, found
+    assert is_bounded, found
 
 
 @behave.then(
@@ -142,20 +142,20 @@
     "2 tasks that bear two runs": ({"copies_allowed": True}, {}),
     "2 tasks of each of two times": ({}, {"repetitions": 2, "interval": 0.1}),
 }
-# Until a worker's crash is proved, in seconds; a copy starts before that.
+# Time until a worker's crash is proved, in seconds; copies start before that.
 PROOF_S = 1.0
-ROUNDS_MOST = 200
+MAX_ROUNDS = 200
 
 
 def add_worker(bench, name):
-    life = models.FakeWorker(models.World(), name, models.Rules(), 1.0)
-    bench.book.set_entry(life.entry())
+    worker = models.FakeWorker(models.World(), name, models.Rules(), 1.0)
+    bench.book.set_entry(worker.entry())
     bench.numbers[name] = 0
     bench.report(name, bench.rows(name))
 
 
 def hand_over(bench, state):
-    """Let a new owner go on from a job's record."""
+    """Replace the owner by a new one that reads a job's record."""
     payload = records.write_progress(state)
     made = cores.make_cores(bench.now, inherited_lease=5.0)
     bench.book, bench.handler = made.book, made.handler
@@ -180,7 +180,7 @@
 def start_until(context):
     bench, made = context.bench, 0
     context.starts = collections.Counter()
-    for number in range(ROUNDS_MOST):
+    for number in range(MAX_ROUNDS):
         crashed = {}
         for moment in range(2):
             for order in bench.start_all():
@@ -226,7 +226,7 @@
         if one.task is context.suspect
     ]
     crashes.count_crash(placed, releases.Fate.CRASHED, bench.now)
-    # Longer than it works in what follows: that does not clear it.
+    # Longer than the run works in this scenario, so that it is not cleared.
     context.suspect.time_to_crash = 5.0
     context.tasks = [
         placed.task for placed in bench.book.workers["w1"].runs.values()
@@ -258,7 +258,7 @@
 
 
 @behave.then("crashes count against {whom}")
-def check_blame(context, whom):
+def check_counts(context, whom):
     other, suspect = [task.crashes for task in context.tasks]
     expected = {
         "both tasks": (1, 2),
@@ -283,7 +283,7 @@
 @behave.when("it is started beside other tasks")
 def start_beside(context):
     bench = context.bench
-    # More than there is room for.
+    # More tasks than there is room for.
     bench.add(definition.Step(tasks=20, cpu=1), identity=f"{2:016x}")
     context.orders = bench.start_all()
     (context.order,) = [
@@ -318,8 +318,7 @@
 @behave.when("its worker crashes {when}")
 def crash_worker(context, when):
     bench, name = context.bench, context.order.worker
-    # A run of it had lived so long before a crash: to work for 4 s clears it
-    # of nothing.
+    # Longer than the 4 s that the run works, so that these clear nothing.
     context.state.tasks[context.order.task].time_to_crash = 10.0
     if when != "at once":
         bench.now += 4.0
@@ -363,7 +362,7 @@
     "its next run has worked for {work:g} s when its worker is asked, which "
     "is heard {late:g} s later"
 )
-def hear_late(context, work, late):
+def report_late(context, work, late):
     bench = context.bench
     asked = bench.now + work
     bench.now = asked + late
--- a/features/steps/culprit_steps.py
+++ b/features/steps/culprit_steps.py
@@ -1,4 +1,4 @@
-"""Steps about jobs that run the same as one that was given up."""
+"""Steps about jobs that run the same as a job that failed for crashes."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from rackvalve.scheduling import messages
 
 
-def hand_in(bench, number, spec="x", **fields):
-    """Hand a job of one task in."""
+def submit(bench, number, spec="x", **fields):
+    """Submit a job of one task."""
     state = progress.JobState(
         f"{number:016x}",
         "queue",
@@ -27,10 +27,10 @@
 
 
 @behave.given("{count:d} workers, and a job that was given up for {what}")
-def make_culprit(context, count, what):
+def make_failed(context, count, what):
     context.bench = bench = benches.Bench([f"w{n}" for n in range(count)])
     context.made = 0
-    context.culprit = state = hand_in(bench, 1)
+    context.failed_job = state = submit(bench, 1)
     if what == "failures":
         bench.book.finish_job(
             state, progress.Phase.FAILED, bench.now, "its task failed"
@@ -40,14 +40,14 @@
     while not state.is_final:
         for order in bench.start_all():
             bench.now += isolation_steps.PROOF_S
-            isolation_steps.renew(context, order.worker)
+            isolation_steps.replace_worker(context, order.worker)
 
 
 @behave.when("one that runs {what} is handed in beside others")
-def hand_in_alike(context, what):
+def submit_matching(context, what):
     bench = context.bench
     spec = "x" if what == "the same" else "y"
-    context.alike = hand_in(bench, 2, spec)
+    context.matching = submit(bench, 2, spec)
     others = progress.JobState(
         f"{9:016x}",
         "queue",
@@ -72,50 +72,52 @@
 
 @behave.then("it starts {where}")
 def check_where(context, where):
-    neighbours = find_neighbours(context, context.alike)
+    neighbours = find_neighbours(context, context.matching)
     assert bool(neighbours) == (where == "beside others"), neighbours
 
 
 @behave.when("the worker crashes that it runs on")
-def crash_alike(context):
-    find_neighbours(context, context.alike)
+def crash_matching(context):
+    find_neighbours(context, context.matching)
     context.bench.now += isolation_steps.PROOF_S
-    isolation_steps.renew(context, context.order.worker)
+    isolation_steps.replace_worker(context, context.order.worker)
 
 
 @behave.then("it is given up, and its reason names one crash")
 def check_given_up_at_once(context):
-    assert context.alike.phase is progress.Phase.FAILED
-    assert context.alike.reason.startswith("1 workers crashed under task")
+    assert context.matching.phase is progress.Phase.FAILED
+    assert context.matching.reason.startswith("1 workers crashed under task")
 
 
 @behave.when("it ends well")
 def end_well(context):
-    find_neighbours(context, context.alike)
+    find_neighbours(context, context.matching)
     context.bench.end(context.order, messages.Ending.DONE)
 
 
 @behave.then("the next one that runs the same starts beside others")
 def check_next(context):
-    state = hand_in(context.bench, 3)
+    state = submit(context.bench, 3)
     assert not state.known_time_to_crash, state.known_time_to_crash
 
 
 @behave.when(
     "a new owner reads its record, and then one that runs the same comes"
 )
-def read_culprit(context):
-    context.culprit = crash_steps.hand_over(context.bench, context.culprit)
-    context.alike = hand_in(context.bench, 2)
+def read_failed(context):
+    context.failed_job = crash_steps.hand_over(
+        context.bench, context.failed_job
+    )
+    context.matching = submit(context.bench, 2)
 
 
 @behave.then("that one is known to run the same")
-def check_alike(context):
-    assert context.alike.known_time_to_crash > 0
+def check_matching(context):
+    assert context.matching.known_time_to_crash > 0
 
 
 @behave.then("it is forgotten with the records of the first")
 def check_forgotten(context):
     book = context.bench.book
-    book.crash_history.crashing_jobs.forget(context.culprit)
-    assert not hand_in(context.bench, 3).known_time_to_crash
+    book.crash_history.crashing_jobs.forget(context.failed_job)
+    assert not submit(context.bench, 3).known_time_to_crash
--- a/features/steps/isolation_steps.py
+++ b/features/steps/isolation_steps.py
@@ -1,4 +1,4 @@
-"""Steps about starts where no other job could cause a crash."""
+"""Steps about starts in isolation, and about what ends a job by crashes."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 from tools import site as sites
 from tools.soak import checks
 
-# Seeds of histories that gave up a job that could be done, with the part of
-# the jobs that crash their workers.
+# Seeds of histories in which a good job was given up, by the part of the jobs
+# that crash their workers.
 SEEDS = {
     0.05: (5081, 5151),
     0.15: (3049, 3094, 3109),
     0.3: (3094, 3198, 3226, 3235),
 }
-# Those of a form that forgot how often a task had been started.
+# Seeds in which a new owner did not know how often a task had been started.
 BOUND_SEEDS = {0.3: (3243, 3287)}
-# A step of the history that proves what it waits for, in seconds.
+# Time until a worker's crash is proved, in seconds.
 PROOF_S = 0.7
 LEASE_S = 4.0
-TRIES_MOST = 60
+MAX_TRIES = 60
 
 
 @behave.when(
@@ -73,12 +73,12 @@
     case = experiment.Case(
         name="", vms=4, crashing=count, every=every, lasting=4, gangs=4
     )
-    context.good, context.guilty = [], []
+    context.good, context.crashing = [], []
     experiment.submit(
         context.own_fleet,
         case,
         context.good,
-        context.guilty,
+        context.crashing,
         seconds=count * every,
     )
 
@@ -101,7 +101,7 @@
 def check_bound(context):
     crashes, late = collections.Counter(), collections.Counter()
     for _, kind, _, task, _, how in context.own_fleet.journal()["journal"]:
-        if task.partition(".")[0] not in context.guilty:
+        if task.partition(".")[0] not in context.crashing:
             continue
         crashes[task] += kind == "end" and how == "crash"
         late[task] += kind == "start" and crashes[task] >= checks.CRASHES_MOST
@@ -117,7 +117,7 @@
     context.made = 0
     step = definition.Step(tasks=tasks, cpu=1, lasting=True)
     context.first = bench.add(step, identity=f"{1:016x}")
-    # Comes to the worker of the first a moment after it.
+    # Starts on the worker of the first a moment later.
     step = definition.Step(tasks=tasks, cpu=1)
     context.other = bench.add(step, identity=f"{2:016x}")
 
@@ -131,12 +131,12 @@
             bench.now += 0.2
             run_on(bench, state, name)
         bench.now += PROOF_S
-        renew(context, name)
+        replace_worker(context, name)
         bench.now += crash_series.SAME_CAUSE_S
 
 
 def run_on(bench, state, name):
-    """Let the one task of a job start on a worker."""
+    """Start the one task of a job on a worker."""
     (task,) = state.tasks.values()
     number = state.take_run_number()
     worker = bench.book.workers[name]
@@ -153,8 +153,8 @@
             bench.book.workers[name].note_extension(bench.now, LEASE_S)
 
 
-def renew(context, name):
-    """Let a worker crash, and another one come."""
+def replace_worker(context, name):
+    """Let a worker crash, and add another one."""
     bench = context.bench
     bench.end_life(name)
     del bench.numbers[name]
@@ -174,7 +174,7 @@
             assert other.isolated_run == run.number
             bench.now += PROOF_S
             report_all(bench, without=run.worker)
-            renew(context, run.worker)
+            replace_worker(context, run.worker)
 
 
 @behave.then("neither job has ended")
@@ -189,18 +189,18 @@
     assert "no other job can have caused" in context.other.reason
 
 
-@behave.then("{count:d} crashes may still be the doing of the first")
+@behave.then("{count:d} crashes may still be caused by the first")
 def check_unexplained(context, count):
     (task,) = context.first.tasks.values()
     assert task.unexplained == count, task.unexplained
 
 
-def count_crashes(bench, state, crashes, *, lived=0.5):
-    """Let so many crashes count against each task of a job."""
+def count_crashes(bench, state, crashes, *, age=0.5):
+    """Count crashes against each task of a job."""
     for task in state.tasks.values():
         task.crashes, task.time_to_crash, task.not_before = (
             crashes,
-            lived,
+            age,
             bench.now,
         )
         task.youngest_crashes = min(crashes, 1) if crashes > 1 else 0
@@ -217,7 +217,7 @@
         step = definition.Step(tasks=1, cpu=1, lasting=True)
         state = bench.add(step, identity=f"{9:016x}")
         if "suspect" in neighbour:
-            count_crashes(bench, state, 1, lived=2.5)
+            count_crashes(bench, state, 1, age=2.5)
         bench.start_all()
         if "2 s" in neighbour:
             bench.now += 2.0
@@ -258,7 +258,7 @@
 @behave.when("the tasks end one after the other, and others wait")
 def end_in_turn(context):
     bench, running = context.bench, list(context.orders)
-    for _ in range(TRIES_MOST):
+    for _ in range(MAX_TRIES):
         bench.end(running.pop(0), messages.Ending.DONE)
         context.busy = collections.Counter(one.worker for one in running)
         started = bench.start_all()
@@ -308,13 +308,13 @@
 
 @behave.given(
     "a task under which {count:d} workers have crashed, at an age of "
-    "{lived:g} s at the most"
+    "{age:g} s at the most"
 )
-def make_last(context, count, lived):
+def make_last(context, count, age):
     context.bench = bench = benches.Bench(["w0"])
     step = definition.Step(tasks=1, cpu=1, lasting=True)
     context.state = bench.add(step)
-    count_crashes(bench, context.state, count, lived=lived)
+    count_crashes(bench, context.state, count, age=age)
     (context.order,) = bench.start_all()
     step = definition.Step(tasks=1, cpu=1)
     context.others = bench.add(step, identity=f"{9:016x}")
@@ -347,7 +347,7 @@
     "the others are told to have no worker with room, and the worker to be "
     "kept"
 )
-def check_told(context):
+def check_reason(context):
     bench = context.bench
     finder = blockers.BlockerFinder(
         bench.book, bench.planner, bench.now, timing.FRESHNESS_S
--- a/features/steps/late_end_steps.py
+++ b/features/steps/late_end_steps.py
@@ -1,4 +1,4 @@
-"""Steps about ends that are told after their runs were released."""
+"""Steps about ends that are reported after their runs were released."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
     bench.book, bench.handler = made.book, made.handler
     bench.planner = made.planner
     for name in bench.numbers:
-        life = models.FakeWorker(models.World(), name, models.Rules(), 1.0)
-        bench.book.set_entry(life.entry())
+        worker = models.FakeWorker(models.World(), name, models.Rules(), 1.0)
+        bench.book.set_entry(worker.entry())
     state = progress.JobState(old.identity, "queue", old.job, 0.0)
     records.read_progress(state, payload, bench.now)
     bench.book.add_job(state, bench.now, bench.now)
@@ -50,17 +50,17 @@
 
 
 @behave.when("the first worker answers again and tells that its run failed")
-def tell_late(context):
+def report_late(context):
     lost = context.lost
     ended = [(f"{lost.job}.{lost.task}", lost.run, FAILED)]
     context.bench.report(lost.worker, ended=ended)
 
 
 @behave.when("it tells so once more to the next owner")
-def tell_twice(context):
+def report_twice(context):
     change_owner(context)
     context.bench.numbers[context.lost.worker] = 0
-    tell_late(context)
+    report_late(context)
 
 
 @behave.then("{count:d} failure counts against the task")
--- a/features/steps/other_life_steps.py
+++ b/features/steps/other_life_steps.py
@@ -1,4 +1,4 @@
-"""Steps about calls that meet a later life of their worker."""
+"""Steps about calls that reach a later incarnation of their worker."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class FakeSite:
-    """What a stand-in of a worker needs of its site."""
+    """The part of a site that the stand-in of a worker uses."""
 
     def __init__(self):
         self.host = HOST
@@ -33,30 +33,32 @@
         pass
 
 
-class Lives:
-    """One life of a worker after the other at one address."""
+class Incarnations:
+    """Incarnations of a worker, one after the other at one address."""
 
     def __init__(self):
         self.site = FakeSite()
         self.port = fleets.find_port()
-        self.life = None
+        self.current = None
 
     def begin(self, born):
-        """Begin the next life."""
-        if self.life is not None:
-            self.life.end("crash")
-            self.life.server.stop(timeout=0)
-            self.life.cut_off()
-        self.life = standins.Worker(
+        """Start the next incarnation."""
+        if self.current is not None:
+            self.current.end("crash")
+            self.current.server.stop(timeout=0)
+            self.current.cut_off()
+        self.current = standins.Worker(
             self.site, "m-1", "pool", self.port, {}, identity=NAME
         )
-        self.life.born = born
-        self.life.server = serving.make_server(HOST, self.port, self.life)
-        self.life.server.start()
+        self.current.born = born
+        self.current.server = serving.make_server(
+            HOST, self.port, self.current
+        )
+        self.current.server.start()
 
     def order(self, path, **fields):
-        """Have the present life carry out an order by itself."""
-        self.life.carry_out(path, {"fence": 1, **fields})
+        """Have the present incarnation carry out an order."""
+        self.current.carry_out(path, {"fence": 1, **fields})
 
 
 def hold(client, acknowledged=0, fence=1):
@@ -100,43 +102,43 @@
 @behave.given(
     "a worker that has answered a hold and an order, and then starts again"
 )
-def make_lives(context):
-    context.lives = Lives()
-    context.lives.begin(1000)
-    life = incarnations.Incarnation(worker=NAME, born=1000)
+def restart_worker(context):
+    context.sequence = Incarnations()
+    context.sequence.begin(1000)
+    first = incarnations.Incarnation(worker=NAME, born=1000)
     context.client = clients.Worker(
-        HOST, context.lives.port, life.identity, timeout=TIMEOUT_S
+        HOST, context.sequence.port, first.identity, timeout=TIMEOUT_S
     )
     assert isinstance(hold(context.client), clients.Report)
     assert isinstance(stop(context.client), clients.Done)
-    context.lives.begin(2000)
+    context.sequence.begin(2000)
 
 
 @behave.when(
-    "its next life has a task that has ended, and is sent {call} meant for "
-    "the one before"
+    "its next incarnation has a task that has ended, and is sent {call} meant "
+    "for the one before"
 )
 def send_call(context, call):
     if "end their connection" in call:
-        context.lives.life.fault = "closing"
+        context.sequence.current.fault = "closing"
     fields = {"task": "t.0.0.1", "run": 1, "spec": "work_ms=0"}
-    context.lives.order("/run-start", **fields, **{"until-ms": 9000})
-    context.lives.life.happened.wait(TIMEOUT_S)
-    assert len(context.lives.life.ended) == 1
+    context.sequence.order("/run-start", **fields, **{"until-ms": 9000})
+    context.sequence.current.happened.wait(TIMEOUT_S)
+    assert len(context.sequence.current.ended) == 1
     context.outcome = CALLS[call](context.client)
 
 
-@behave.then("the answer is that another life is there")
+@behave.then("the answer is that another incarnation is there")
 def check_other(context):
     assert isinstance(context.outcome, clients.OtherLife), context.outcome
     assert context.outcome.born == 2000, context.outcome
 
 
-@behave.then("the next life has started nothing and keeps its end")
+@behave.then("the next incarnation has started nothing and keeps its end")
 def check_kept(context):
-    life = context.lives.life
-    assert context.lives.site.started == [(2000, "t.0.0.1", 1)]
-    assert [row[0] for row in life.ended] == [1], life.ended
-    life.end("over")
-    life.server.stop(timeout=0)
+    worker = context.sequence.current
+    assert context.sequence.site.started == [(2000, "t.0.0.1", 1)]
+    assert [row[0] for row in worker.ended] == [1], worker.ended
+    worker.end("over")
+    worker.server.stop(timeout=0)
     context.client.close()
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -1,4 +1,4 @@
-"""Steps about workers that start again under the names that they had."""
+"""Steps about workers that start again under their names."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 POOLS = {"lookups": 6, "rebuilds": 1, "spare": 1}
 STEPS = [{"count": 4, "cpu": 500}]
-# How long the entry of a life that is over stays, in seconds.
+# How long the entry of an ended incarnation stays, in seconds.
 ENTRY_S = 1.5
 BACK_S = 0.2
 SPACING_S = 0.1
@@ -22,21 +22,21 @@
 
 HISTORY_STEPS = 300
 FIRST_SEED = 9000
-# How far the platform's list is behind in histories, in seconds, and the part
-# of crashed workers that start again under their names.
+# Delay of the platform's list in histories, in seconds, and the part of
+# crashed workers that start again under their names.
 LAG_S = 0.8
 RESTARTING = 0.7
 
 
 def explore(count, **rules):
-    """Return the first that histories with restarts break, of starts.
+    """Return the first violation about starts in histories with restarts.
 
-    Workers crash here more often than suspects bear; who is given up for that
-    is judged by the histories of crashes.
+    Workers crash here so often that jobs are given up; the histories of
+    crashes check that.
     """
-    kept = models.Rules(lag=LAG_S, restarting=RESTARTING, **rules)
+    all_rules = models.Rules(lag=LAG_S, restarting=RESTARTING, **rules)
     for seed in range(FIRST_SEED, FIRST_SEED + count):
-        found = histories.explore(1, HISTORY_STEPS, kept, seed)
+        found = histories.explore(1, HISTORY_STEPS, all_rules, seed)
         if found and "given up" not in found[0]:
             return found
     return []
@@ -71,8 +71,8 @@
     "a site of {count:d} managers with 6 VMs for the jobs, {births} told"
 )
 def start_site(context, count, births):
-    words = () if births == "births" else ("--no-births",)
-    context.own_fleet = sites.Site(count, pools=POOLS, platform=words)
+    arguments = () if births == "births" else ("--no-births",)
+    context.own_fleet = sites.Site(count, pools=POOLS, platform=arguments)
     context.own_fleet.start()
     context.submitted = []
 
@@ -111,7 +111,7 @@
 
 
 def restart_late(site, names, pair):
-    """Leave calls for a moment; who has the name then carries them out."""
+    """Delay calls, so that the next incarnation carries them out."""
     for name in pair:
         site.order({"machine": name, "fault": "late calls"})
     time.sleep(3 * SPACING_S)
@@ -127,7 +127,7 @@
 
 
 def read_events(context):
-    """Return what workers did and were told to forget, in order."""
+    """Return what workers did and which ends were acknowledged, in order."""
     seen = context.own_fleet.journal()
     known = [[row[0], "known", *row[1:]] for row in seen["known"]]
     return sorted(seen["journal"] + known)
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what is believed of a worker that has started again."""
+"""Steps about what the owner knows of a worker that has started again."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def start_again(bench, running=(), ended=()):
-    """Let a later life of the worker tell what it has."""
+    """Let a later incarnation of the worker report its runs."""
     entry = bench.book.workers[EARLIER].entry
     bench.book.set_entry(make_entry(LATER, entry))
     bench.numbers[LATER] = 0
@@ -87,8 +87,8 @@
 
 
 @behave.when("the worker starts again and {tells}")
-@behave.when("the worker's present life {tells}")
-def tell(context, tells):
+@behave.when("the worker's present incarnation {tells}")
+def report(context, tells):
     bench = context.bench
     full = f"{context.state.identity}.0.0.0"
     if tells == DRAINED:
@@ -122,7 +122,7 @@
         assert worker.established and len(worker.runs) == 1
 
 
-@behave.then("the life before is forgotten")
+@behave.then("the earlier incarnation is forgotten")
 def check_forgotten(context):
     bench = context.bench
     assert list(bench.book.workers) == [LATER]
@@ -140,14 +140,14 @@
     start_again(context.bench, list_run(context))
 
 
-@behave.then("the later life is told to stop it")
+@behave.then("the later incarnation is told to stop it")
 def check_stop(context):
     (stop,) = context.bench.stops()
     assert stop.worker == LATER and stop.run == 1
 
 
 @behave.given(
-    "a new owner with a record of a run on a worker, without its birth"
+    "a new owner with a record of a run on a worker, without its start time"
 )
 def read_record(context):
     bench = context.bench = benches.Bench([])
@@ -168,7 +168,7 @@
 @behave.given(
     "a worker that is closed, suspected, slow, ordered away and 100 s ahead"
 )
-def spoil_worker(context):
+def mark_worker(context):
     bench = context.bench = benches.Bench([EARLIER])
     worker = bench.book.workers[EARLIER]
     worker.close_reason = "it is closed"
@@ -181,7 +181,7 @@
 
 
 @behave.when("it has started again and has told what it has")
-def tell_nothing(context):
+def report_nothing(context):
     start_again(context.bench)
 
 
@@ -204,7 +204,7 @@
 
 
 @behave.when(
-    "an entry names another birth of the worker, and its life answers on"
+    "an entry names another start time of the worker, which still answers"
 )
 def name_other(context):
     bench = context.bench
@@ -215,9 +215,9 @@
 
 
 @behave.given(
-    "a life that began {age:d} s ago, after one that lists have named"
+    "an incarnation that began {age:d} s ago, after one that lists have named"
 )
-def follow_life(context, age):
+def add_later(context, age):
     bench = context.bench = benches.Bench([])
     context.maintenance = maintenance.MaintenancePlanner(bench.book)
     context.silence = failure_detector.FailureDetector(
@@ -253,14 +253,14 @@
     take_list(context, "")
 
 
-@behave.then("its life is {proved}")
+@behave.then("its incarnation is {proved}")
 def check_proved(context, proved):
     worker = context.bench.book.workers[LATER]
     is_over = worker.lease_expiry == float("-inf")
     assert is_over == (proved == "proved over"), worker.lease_expiry
 
 
-@behave.given("an entry and a list whose birth is {told}")
+@behave.given("an entry and a list whose start time is {told}")
 def read_births(context, told):
     field = {} if told == "left out" else {"born": json.loads(told)}
     entry = {"addr": "127.0.0.1:7", "service": "p", "state": "ready"}
@@ -274,19 +274,19 @@
     ]
 
 
-@behave.then("it is {taken} for a birth")
+@behave.then("it is {taken} for a start time")
 def check_births(context, taken):
     expected = 1771263913116 if taken == "taken" else None
     assert context.births == [expected, expected], context.births
 
 
-@behave.then("these lives are read from their identities as they were")
+@behave.then("these incarnations are read from their identities as they were")
 def check_identities(context):
     for row in context.table:
         born = int(row["born"]) if row["born"] else None
-        life = incarnations.Incarnation(worker=row["name"], born=born)
-        assert life.identity == row["identity"], life.identity
-        assert incarnations.parse_incarnation(life.identity) == life, life
+        made = incarnations.Incarnation(worker=row["name"], born=born)
+        assert made.identity == row["identity"], made.identity
+        assert incarnations.parse_incarnation(made.identity) == made, made
 
 
 @behave.given(
@@ -362,7 +362,9 @@
     ask_next(context)
 
 
-@behave.then("it is asked whether the later life may run the step, and it may")
+@behave.then(
+    "it is asked whether the later incarnation may run the step, and it may"
+)
 def check_asked(context):
     assert context.adviser.asked == [[EARLIER], [LATER]]
     context.bench.plan()
@@ -371,7 +373,8 @@
 
 
 @behave.given(
-    "a job with runs on two lives of one worker and on one without a birth"
+    "a job with runs on two incarnations of one worker and on one without a "
+    "start time"
 )
 def make_runs(context):
     context.state = make_state()
@@ -403,7 +406,7 @@
 
 
 def read_workers(payload):
-    """Return on which lives the runs of a record are, by number."""
+    """Return the workers' identities in a record, by number of the run."""
     state = make_state()
     records.read_progress(state, payload, 0.0)
     (task,) = state.tasks.values()
@@ -412,7 +415,8 @@
 
 
 @behave.then(
-    "the runs are on the same lives, and the record's runs tell names alone"
+    "the runs are on the same incarnations, and the record's runs have names "
+    "alone"
 )
 def check_record(context):
     assert read_workers(context.record) == context.on
@@ -420,7 +424,9 @@
     assert [[1, "w1"], [2, "w1"], [3, "w2"]] in task, task
 
 
-@behave.then("a record of an earlier release tells of lives without births")
+@behave.then(
+    "a record of an earlier release has incarnations without start times"
+)
 def check_earlier(context):
     record = json.loads(context.record)
     (task,) = record["tasks"]
