--- a/features/answers.feature
+++ b/features/answers.feature
@@ -1,10 +1,8 @@
-# Workers that end their connections by their answers made one process after the other
-# give the scheduling up: the client of HTTP closed the connection, for the parser of
-# the answer had closed it before, and that error was taken for one of ours.  Any
-# server ends connections so, as it stops, or after so many calls.  Proved by real
-# processes whose servers said "Connection: close" on one of 30 answers: eight terms of
-# two owners in 9 s, each ended by that error in the log, and a job still queued after
-# 40 s; one term and all jobs completed once such an answer was one.
+# Servers may end a connection with an answer, as they stop or after a number of calls.
+# The HTTP client then closed a connection that the response parser had closed before,
+# and the owner took that error for its own and resigned.  With "Connection: close" on
+# one of 30 answers two processes took eight terms in 9 s, and a job was still queued
+# after 40 s.
 Feature: What a peer answers costs that peer's traffic and nothing else
 
   Scenario: A whole answer that ends its connection is an answer
@@ -21,11 +19,10 @@
     When 2000 answers with bytes changed, dropped or cut at random come
     Then each call has had an answer or none
 
-  # A server that stutters sends its answer once more, at once or while the next call
-  # is under way.  The next call took it for its own, or one body was made of both.
-  # An order's answer has no runs, and a report without runs proves them over: they
-  # would start elsewhere while they run.  Seen with a server of ours; that it befell
-  # the users is not known.
+  # A faulty server may send an answer twice, the second time at once or during the next
+  # call, which took it for its own answer or got a body made of both.  An order's answer
+  # lists no runs; taken for a report it proves them over, and they would start elsewhere
+  # while they still run.
   Scenario: No call takes the second answer to another one for its own
     Then of 30 calls none takes another's answer, and a third has its own at least
       | call              | second answer          |
@@ -46,15 +43,15 @@
       | a list of VMs     | during the next call   |
       | an admission      | during the next call   |
 
-  # A refusal has no clock.  Taken for the answer to the next order, it lets a task
-  # start elsewhere while it runs here.
+  # A refusal carries no clock reading.  Taken for the answer to the next order, it lets
+  # a task start elsewhere while it runs here.
   Scenario: The second refusal of an unwell worker refuses no other order
     Given a worker that refuses one order with 503, twice, and takes all others
     Then of 2 orders in turn the first is refused and the second is taken
 
-  # Clocks are told in whole milliseconds: a report that came again 2 ms later, to a
-  # hold that was sent at once, showed no earlier time than was known.  A run that had
-  # been confirmed in between was taken to be gone, and started beside itself.
+  # Workers report their clock in whole milliseconds.  A report that was repeated 2 ms
+  # later, as the answer to a hold sent at once, did not look older than the last one.  A
+  # run confirmed in between was taken to be gone, and a second one started beside it.
   Scenario: A report that tells no later time than the one before is that one
     Given a worker that answers 2 holds in the same millisecond, then a later one
     Then of 3 holds in turn on one connection the second has no answer
--- a/features/commits.feature
+++ b/features/commits.feature
@@ -13,10 +13,10 @@
       | record    | a record went back        |
       | ownership | the only owner is deposed |
 
-  # A turn of several pools at once: 272 workers made 300 to 700 records a
-  # second in plays, while a slow store answered after 0.24 s.  By Little's law
-  # a rate of 500 needs 120 records under way; one commit of 29 records can
-  # carry 120 a second.
+  # When several pools turn at once, 272 workers make 300 to 700 records a
+  # second, and a slow store answers after 0.24 s.  By Little's law a rate of 500
+  # needs 120 records in flight; one commit of 29 records at a time carries 120 a
+  # second.
   Scenario Outline: A turn's records do not wait for a slow store
     Given a store that answers after <answer> ms
     When a turn of 3 seconds marks 500 records a second
--- a/features/counts.feature
+++ b/features/counts.feature
@@ -1,11 +1,8 @@
-# Callers were told that no job of a queue waits while tens of accepted ones had not
-# begun.  The owner counted a job as begun once it had planned a run of it, before a
-# worker had heard of that, and never again as not begun when the run was over
-# without having begun; callers saw such jobs as running.  Beside silent workers, or
-# where orders stayed behind, the count was too small for as long as that lasted.
-# Proved by real processes whose workers were silent: 24 jobs counted as begun by no
-# worker's word for 20 s, 105 of 357 answers told under half, with one owner and a
-# number that was never older than a second; none where workers answered.
+# The owner counted a job as begun once it had planned a run, before any worker had
+# confirmed the start, and kept it so when the run ended without having begun.  Callers
+# saw such jobs as running and got too small a count as long as workers were silent or
+# orders were delayed: with silent workers 24 jobs counted as begun for 20 s, and 105 of
+# 357 answers told under half of the count.
 Feature: The count of jobs that have not begun goes by what workers say
 
   Scenario: What makes a job begun
@@ -38,8 +35,8 @@
     Then no answer tells under half of the jobs that were accepted 5 s before and have not begun
     And no job is shown as running before a worker has started it
 
-  # Read in the code, not seen in a run: a number was told without its age, for as
-  # long as no owner published another one, or by one whose own view was old.
+  # A published count was told whatever its age: as long as no owner published another
+  # one, or from an owner whose own view was old.
   Scenario: A number that is old is not told
     Given a queue with 8 jobs accepted and not begun, 5 begun, 3 ended and 2 cancelled
     Then a caller who asks for the count is told so
--- a/features/keys.feature
+++ b/features/keys.feature
@@ -1,6 +1,7 @@
-# Twenty workspaces with two keys each; keys are added and taken away several
-# within 0.1 s, all of a workspace's at once, while an entry is cut off from the
-# store or its watch is stuck.  A right is in force, or gone, within 3 s.
+# Keys of workspaces are added and removed, several within 0.1 s or all of a
+# workspace's at once, while an entry is cut off from the store or its watch is
+# stalled.  A change must take effect within 3 s.  The design case is twenty
+# workspaces with two keys each.
 Feature: Callers show the key of a workspace and get at its jobs alone
 
   Scenario: A known key is judged by a fresh view, without asking the store
--- a/features/removal.feature
+++ b/features/removal.feature
@@ -1,8 +1,6 @@
-# A job of minutes ago began anew: all its tasks ran twice.  Its records were
-# being removed, in commits side by side.  Where that of its progress was gone
-# and its definition was still there, the next owner, or the same one when it
-# read all jobs again, took it for a job that had just come.  Reading showed it;
-# these steps prove it.
+# The records of an ended job are removed in concurrent commits.  If its progress
+# was removed before its definition, the next owner, or the same one when it read
+# all jobs again, took it for a new job and ran all its tasks a second time.
 Feature: The records of a job that ended long ago are removed
 
   Background:
--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -1,4 +1,4 @@
-"""Steps about answers that end their connection, are odd, or come twice."""
+"""Steps about answers that end a connection, are damaged, or come twice."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class ScriptedServer:
-    """Answers each call with pieces of bytes, and may close then.
+    """HTTP server whose answers are scripted.
 
-    :param script: Called with the number of the call; yields pieces, or
-        pauses in seconds, and ``None`` to close.
+    :param script: Called with the number of the call; yields pieces of bytes,
+        pauses in seconds, or ``None`` to close the connection.
     """
 
     def __init__(self, script):
@@ -58,7 +58,7 @@
 
 
 def write_answer(body, *, status=b"200 OK", version=b"1.1", headers=b""):
-    """Return an answer with its length."""
+    """Return an HTTP answer with a Content-Length header."""
     return (
         b"HTTP/%s %s\r\n%sContent-Length: %d\r\n\r\n"
         % (version, status, headers, len(body))
@@ -78,12 +78,12 @@
     yield None
 
 
-def _answer_old(number):
+def _answer_http_1_0(number):
     yield write_answer(write_body(number), version=b"1.0")
     yield None
 
 
-def _answer_endless(number):
+def _answer_without_length(number):
     yield b"HTTP/1.1 200 OK\r\n\r\n" + write_body(number)
     yield None
 
@@ -97,8 +97,8 @@
     "whole": lambda number: [write_answer(write_body(number))],
     "and says that it closes, and does": _answer_and_close,
     "and says that it closes, and does not yet": _answer_closing,
-    "in HTTP/1.0": _answer_old,
-    "without a length, ended by the close": _answer_endless,
+    "in HTTP/1.0": _answer_http_1_0,
+    "without a length, ended by the close": _answer_without_length,
     "after an interim one": _answer_interim,
 }
 
@@ -151,7 +151,7 @@
             yield write_answer(b'{"clock-ms":482113}')
             return
         if number == 2:
-            # The first order's refusal once more; the answer comes too late.
+            # Repeats the first order's refusal before the second's answer.
             yield refusal
             yield 0.01
         yield write_answer(b'{"clock-ms":482113}') if number > 1 else refusal
@@ -178,7 +178,7 @@
 @behave.given(
     "a worker that answers 2 holds in the same millisecond, then a later one"
 )
-def make_quick(context):
+def make_same_millisecond(context):
     def script(number):
         clock = 482113 if number < 3 else 482114
         body = '{"clock-ms":%d,"running":[],"ended":[]}' % clock
@@ -294,7 +294,7 @@
     "a site of {count:d} managers whose servers end a connection with each "
     "{every:d}th answer"
 )
-def start_closing(context, count, every):
+def start_closing_servers(context, count, every):
     context.own_fleet = sites.Site(count, platform=[f"--closing={every}"])
     context.own_fleet.start()
     context.submitted = []
@@ -310,7 +310,7 @@
 
 
 def read_events(site, event):
-    """Return the lines of an event that all managers have written."""
+    """Return the log lines of an event from all managers."""
     lines = []
     for path in sorted(site.folder.glob("vm-*.log")):
         for text in path.read_text().splitlines():
--- a/features/steps/commit_steps.py
+++ b/features/steps/commit_steps.py
@@ -1,4 +1,4 @@
-"""Steps about commits: their interleavings, pace, and answers."""
+"""Steps about commits: their interleavings, timing, and answers."""
 
 from __future__ import annotations
 
@@ -130,7 +130,7 @@
 
 
 class ResettingStore:
-    """Resets each connection once the call was sent."""
+    """Store that resets each connection after the call was sent."""
 
     def __init__(self):
         self.calls = 0
@@ -162,14 +162,14 @@
 
 
 class FakeStore:
-    """Carries out commits as the platform's store does."""
+    """Store in memory with the commit semantics of the platform's store."""
 
     def __init__(self):
         self.items = {}
         self.revision = 100
         self.order = []
         self.calls = 0
-        # Tries whose answers are lost, by number.
+        # Numbers of the calls whose answers are lost.
         self.lost = set()
         self.put(OWNER, b"us")
         self.fence = self.revision
@@ -205,7 +205,7 @@
     context.store = FakeStore()
     context.deposed = []
     context.written = []
-    # What it spawns ends with its owner; here with the scenario.
+    # The writer's greenlets end with its owner; here with the scenario.
     spawned = pool.Group()
     context.add_cleanup(spawned.kill)
     context.writer = writers.Writer(
--- a/features/steps/count_age_steps.py
+++ b/features/steps/count_age_steps.py
@@ -1,4 +1,4 @@
-"""Steps about how old a count may be that callers are told."""
+"""Steps about the age of the counts that callers are told."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class CountStore:
-    """A store with the records of a queue's jobs."""
+    """Store with the records of a queue's jobs; counts range reads."""
 
     def __init__(self, item):
         self.item = item
@@ -83,7 +83,7 @@
         + [progress.Phase.QUEUED] * cancelled
     )
     for number, phase in enumerate(phases):
-        # Half of those that have not begun have a record of their starts.
+        # Half of the jobs that have not begun have a progress record.
         has_record = phase is not progress.Phase.QUEUED or number % 2
         add_job(context, number, phase if has_record else None)
     for number in range(len(phases) - cancelled, len(phases)):
@@ -107,7 +107,7 @@
 
 
 def publish(context, number, age, view_age=0.0):
-    """Have an owner publish that a number of jobs has not begun."""
+    """Have an owner publish a count of jobs that have not begun."""
     enqueued = {}
     writer = mock.Mock()
     writer.enqueue = lambda key, make, **fields: enqueued.update({key: make})
@@ -129,7 +129,7 @@
 
 
 def publish_by(recorder, age, view_age):
-    """Have a recorder publish its count some seconds ago."""
+    """Have a recorder publish its count, dated some seconds ago."""
     wall = time.time() - age
     recorder.publish_waiting(1000.0, wall, 1000.0 - view_age)
 
@@ -175,7 +175,7 @@
         store = context.store
         store.items.pop(counts.WAITING_KEY, None)
         PUBLISHED[row["the owner has published"]](context)
-        # What was counted for another row is not told again.
+        # Drops the cached count of the row before.
         context.job_api._counter = counts.Counter(store)
         store.lists_fail = row["the store"] == "does not list"
         store.silent = row["the store"] == "is silent"
--- a/features/steps/count_steps.py
+++ b/features/steps/count_steps.py
@@ -22,14 +22,14 @@
 SILENT_POOLS = {"lookups": 6, "rebuilds": 1, "spare": 1}
 # Pause between two questions to one manager, in seconds.
 ASK_PAUSE_S = 0.25
-# A job that was accepted so long before counts, in seconds: the users'
-# `visible_ms` of 3 s, and the 2 s that the count may be old.
+# A job must be counted this long after it was accepted, in seconds: the users'
+# `visible_ms` of 3 s, and the 2 s that a count may be old.
 COUNTED_AFTER_S = 5.0
 TASK_MS = 3000
 
 
-class Words:
-    """A job of one or two tasks and what its workers say."""
+class JobCase:
+    """A job of one or two tasks and the answers and reports of its workers."""
 
     def __init__(self, step):
         self.bench = benches.Bench(["w1", "w2"])
@@ -43,7 +43,7 @@
         self.order = self.orders[0]
 
     def answer(self, result, *, uncertain=False):
-        """Have the first start answered."""
+        """Have the order of the first start answered."""
         self.bench.book.apply_start_result(
             self.bench.placed(self.order),
             result,
@@ -52,7 +52,7 @@
         )
 
     def end(self, cause):
-        """Have the first run's end listed."""
+        """Have the first run's end reported."""
         self.bench.now += 0.05
         worker = self.bench.book.workers[self.order.worker]
         ending = {
@@ -80,89 +80,95 @@
         self.bench.report(self.order.worker, rows)
 
 
-def _plan_only(words):
-    words.bench.planner.plan(words.bench.now, words.bench.now)
+def _plan_only(case):
+    case.bench.planner.plan(case.bench.now, case.bench.now)
 
 
-def _take(words):
-    words.order_start()
-    words.answer(messages.StartResult.STARTED)
+def _take(case):
+    case.order_start()
+    case.answer(messages.StartResult.STARTED)
 
 
-def _find_no_room(words):
-    words.order_start()
-    words.answer(messages.StartResult.NO_ROOM)
+def _find_no_room(case):
+    case.order_start()
+    case.answer(messages.StartResult.NO_ROOM)
 
 
-def _give_up(words):
-    words.order_start()
-    words.answer(messages.StartResult.UNWELL, uncertain=True)
+def _give_up(case):
+    case.order_start()
+    case.answer(messages.StartResult.UNWELL, uncertain=True)
 
 
-def _come_late(words):
-    words.order_start()
-    words.answer(messages.StartResult.OUTDATED)
+def _start_too_late(case):
+    case.order_start()
+    case.answer(messages.StartResult.OUTDATED)
 
 
-def _list(words):
-    words.order_start()
-    words.report(words.bench.rows(words.order.worker))
+def _list(case):
+    case.order_start()
+    case.report(case.bench.rows(case.order.worker))
 
 
-def _stop(words):
-    words.order_start()
-    words.end("stopped")
+def _stop(case):
+    case.order_start()
+    case.end("stopped")
 
 
-def _seal(words):
-    _give_up(words)
-    key = (f"{words.order.job}.{words.order.task}", words.order.run)
-    words.bench.book.confirm_stop(words.order.worker, key, words.bench.now)
-    words.report()
+def _seal(case):
+    _give_up(case)
+    key = (f"{case.order.job}.{case.order.task}", case.order.run)
+    case.bench.book.confirm_stop(case.order.worker, key, case.bench.now)
+    case.report()
 
 
-def _lose(words):
-    words.order_start()
-    words.bench.end_life(words.order.worker)
+def _lose_worker(case):
+    case.order_start()
+    case.bench.end_life(case.order.worker)
 
 
-def _take_and_lose(words):
-    _take(words)
-    words.bench.end_life(words.order.worker)
+def _start_and_lose_worker(case):
+    _take(case)
+    case.bench.end_life(case.order.worker)
 
 
-def _take_both(words):
-    words.order_start()
-    for order in words.orders:
-        words.bench.confirm(order)
+def _take_both(case):
+    case.order_start()
+    for order in case.orders:
+        case.bench.confirm(order)
 
 
-def _wait_in_vain(words):
-    _take(words)
-    words.end("alone")
+def _start_without_partner(case):
+    _take(case)
+    case.end("alone")
 
 
-def _end_well(words):
-    words.order_start()
-    words.end("done")
+def _end_well(case):
+    case.order_start()
+    case.end("done")
 
 
-SAID = {
-    "none: it was handed in": (SINGLE, lambda words: None),
+CASES = {
+    "none: it was handed in": (SINGLE, lambda case: None),
     "none: its start is planned": (SINGLE, _plan_only),
-    "none: its start is in the store": (SINGLE, Words.order_start),
+    "none: its start is in the store": (SINGLE, JobCase.order_start),
     "its start is taken": (SINGLE, _take),
     "its start finds no room": (SINGLE, _find_no_room),
     "its start has no answer and is given up": (SINGLE, _give_up),
-    "its start comes after its end": (SINGLE, _come_late),
+    "its start comes after its end": (SINGLE, _start_too_late),
     "a report lists it": (SINGLE, _list),
     "a report tells that it was stopped": (SINGLE, _stop),
     "a report does not list it, its start is sealed": (SINGLE, _seal),
-    "none: its worker is proved to be over": (SINGLE, _lose),
-    "its start is taken, then its worker is over": (SINGLE, _take_and_lose),
+    "none: its worker is proved to be over": (SINGLE, _lose_worker),
+    "its start is taken, then its worker is over": (
+        SINGLE,
+        _start_and_lose_worker,
+    ),
     "one of two that start together is there": (PAIR, _take),
     "both of two that start together are there": (PAIR, _take_both),
-    "one of two that start together waited in vain": (PAIR, _wait_in_vain),
+    "one of two that start together waited in vain": (
+        PAIR,
+        _start_without_partner,
+    ),
     "one of two that start together ends well": (PAIR, _end_well),
 }
 
@@ -171,10 +177,10 @@
 def check_words(context):
     wrong = []
     for row in context.table:
-        step, say = SAID[row["words"]]
-        words = Words(step)
-        say(words)
-        counted = words.state.phase is not progress.Phase.QUEUED
+        step, say = CASES[row["words"]]
+        case = JobCase(step)
+        say(case)
+        counted = case.state.phase is not progress.Phase.QUEUED
         if counted != (row["begun"] == "yes"):
             wrong.append(row["words"])
     assert not wrong, wrong
@@ -231,7 +237,7 @@
 
 
 def ask_until(context, manager, until):
-    """Ask one manager for the count, again and again."""
+    """Ask one manager for the count until a time."""
     while time.monotonic() < until:
         asked = time.monotonic()
         reply = context.own_fleet.call(manager, "GET", "/lookup/")
@@ -241,8 +247,8 @@
         gevent.sleep(ASK_PAUSE_S)
 
 
-def read_beginnings(context):
-    """Return when a worker has first started a task of each job."""
+def read_first_starts(context):
+    """Return when a worker first started a task of each job."""
     began = {}
     for at, kind, _, task, _, _ in context.own_fleet.journal()["journal"]:
         if kind == "start":
@@ -255,7 +261,7 @@
     "have not begun"
 )
 def check_told(context):
-    began = read_beginnings(context)
+    began = read_first_starts(context)
     wrong = []
     for asked, vm, told in context.told:
         waiting = sum(
@@ -271,7 +277,7 @@
 
 @behave.then("no job is shown as running before a worker has started it")
 def check_shown(context):
-    began = read_beginnings(context)
+    began = read_first_starts(context)
     early = [
         identity
         for identity, asked in context.shown.items()
--- a/features/steps/currency_steps.py
+++ b/features/steps/currency_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the configuration that callers are answered by."""
+"""Steps about revalidating the configuration for callers' requests."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class FakeStore:
-    """Holds a configuration and no job; counts comparisons."""
+    """Store with a configuration and no job, which counts comparisons."""
 
     def __init__(self, item):
         self.item = item
--- a/features/steps/key_steps.py
+++ b/features/steps/key_steps.py
@@ -1,4 +1,4 @@
-"""Steps about keys of workspaces, at an entry without network."""
+"""Steps about keys of workspaces, with the job API and no network."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 class FakeStore:
-    """Holds a configuration and the records of one job of north."""
+    """Store with a configuration and the records of one job of north."""
 
     def __init__(self, item):
         self.configuration = item
@@ -196,12 +196,12 @@
 
 
 @behave.when("{count:d} callers with invented keys come within {seconds:f} s")
-def invent(context, count, seconds):
-    def come(number):
+def send_invented_keys(context, count, seconds):
+    def send_one(number):
         gevent.sleep(seconds * number / count)
         call(context, f"Bearer invented-{number}")
 
-    gevent.joinall([gevent.spawn(come, number) for number in range(count)])
+    gevent.joinall([gevent.spawn(send_one, number) for number in range(count)])
 
 
 @behave.when("a caller without a key asks for a job of the open queue")
@@ -279,7 +279,7 @@
     "a configuration has two workspaces of one name, one key in two, and odd "
     "bounds"
 )
-def read_odd(context):
+def read_invalid_workspaces(context):
     bound = {"cpu": -5, "mem-mb": 2**61, "gpu": 0}
     tenants = [
         {"name": "a", "api-keys": ["k1"], "weight": -1, "upper-bound": bound},
@@ -293,7 +293,7 @@
 @behave.then(
     "the first of each counts, a negative bound is none, a negative rate is 0"
 )
-def check_odd(context):
+def check_invalid_workspaces(context):
     directory = context.configuration.workspaces
     first = directory.find("a")
     assert (first.rate, first.bound.cpu, first.bound.memory) == (0, 0, 2**61)
--- a/features/steps/removal_steps.py
+++ b/features/steps/removal_steps.py
@@ -22,7 +22,7 @@
 
 
 class FakeWriter:
-    """Keeps what is enqueued until the test lets it be written."""
+    """Writer that keeps enqueued writes until the test completes them."""
 
     def __init__(self, items):
         self.items = items
@@ -48,7 +48,7 @@
 
 
 def load(items):
-    """Return the book of an owner that takes over now."""
+    """Return the book and the intake of an owner that takes over now."""
     book = cores.make_cores(clocks.read_steady(), inherited_lease=0.0).book
     known = read(items, records.PROGRESS_PREFIX)
     jobs = intake.JobIntake(book, known, on_change=mock.Mock())
@@ -90,40 +90,40 @@
 
 
 def collect(context):
-    """Let the owner look for jobs that ended long ago."""
+    """Let the owner collect jobs that ended long ago."""
     context.now += timing.COLLECT_INTERVAL_S
     context.recorder.collect(context.now, LONG_S)
 
 
-def remove_all(context, look):
-    """Write all that is enqueued, a commit a key, progress as early as may be.
+def remove_all(context, on_commit):
+    """Complete all writes, one commit a key, progress as early as possible.
 
-    :param look: Called before the first commit and after each.
+    :param on_commit: Called before the first commit and after each.
     """
-    look()
+    on_commit()
     while context.writer.enqueued:
         keys = sorted(context.writer.enqueued)
         context.writer.write(keys[-1])
-        look()
+        on_commit()
 
 
 @behave.when("its records are removed, and an owner loads after each commit")
 def remove_and_load(context):
-    def look():
+    def on_commit():
         book, _ = load(context.items)
         context.begun.extend(book.open_jobs)
 
-    remove_all(context, look)
+    remove_all(context, on_commit)
 
 
 @behave.when(
     "its records are removed, and the owner reads all jobs after each commit"
 )
 def remove_and_read(context):
-    def look():
+    def on_commit():
         context.jobs.apply_range(read(context.items, records.PREFIX))
 
-    remove_all(context, look)
+    remove_all(context, on_commit)
 
 
 @behave.when("its records are removed while the owner reads all jobs")
--- a/features/steps/watch_steps.py
+++ b/features/steps/watch_steps.py
@@ -1,4 +1,4 @@
-"""Steps about watches that say nothing, or late."""
+"""Steps about watches that are answered late or not at all."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 KEY = "job/q/1/definition"
 
 
-class MutedStore:
-    """Answers all calls at once but those that wait for changes."""
+class SlowWatchStore:
+    """Store that answers all calls at once except watches."""
 
     def __init__(self, *, silence=0.0, late=0.0, refuses=False):
         self.refuses = refuses
@@ -24,14 +24,14 @@
         self.silence = silence
         self.late = late
         self.items = []
-        self.readings = 0
+        self.range_reads = 0
 
     @property
     def revision(self):
         return 10 + len(self.items)
 
     def read_range(self, prefix):
-        self.readings += 1
+        self.range_reads += 1
         return stores.Range(items=tuple(self.items), revision=self.revision)
 
     def watch(self, prefix, after, wait, *, slack):
@@ -50,17 +50,17 @@
 
 @behave.given("a store whose watches say nothing for {silence:g} seconds")
 def mute_watches(context, silence):
-    context.store = MutedStore(silence=silence)
+    context.store = SlowWatchStore(silence=silence)
 
 
 @behave.given("a store whose watches answer {late:g} seconds late")
 def delay_watches(context, late):
-    context.store = MutedStore(late=late)
+    context.store = SlowWatchStore(late=late)
 
 
 @behave.given("a store that refuses watches at once")
 def refuse_watches(context):
-    context.store = MutedStore(refuses=True)
+    context.store = SlowWatchStore(refuses=True)
 
 
 def follow(context):
@@ -105,8 +105,8 @@
 
 @behave.then("the owner has seen it before a watch has told of it")
 def check_seen(context):
-    speaks = context.store.began + context.store.silence
-    assert context.seen[KEY] < speaks, context.seen[KEY] - speaks
+    answers_from = context.store.began + context.store.silence
+    assert context.seen[KEY] < answers_from, context.seen[KEY] - answers_from
 
 
 @behave.then("no job is told twice as new")
@@ -123,4 +123,4 @@
 
 @behave.then("all items were read {count:d} times at the most")
 def check_readings(context, count):
-    assert context.store.readings <= count, context.store.readings
+    assert context.store.range_reads <= count, context.store.range_reads
--- a/features/watches.feature
+++ b/features/watches.feature
@@ -1,6 +1,6 @@
-# A store that lost its history said nothing on the watches that waited for
-# 1.2 s, and answered everything else within 5 ms: 108 jobs that were accepted
-# meanwhile were first seen by the owner 1.3 s later.
+# A store that lost its history left waiting watches unanswered for 1.2 s, while
+# it answered all other calls within 5 ms.  The owner first saw 108 jobs that
+# were accepted meanwhile 1.3 s later.
 Feature: An owner sees what is new though a watch says nothing
 
   Scenario: A watch that says nothing is followed by a reading
