--- a/features/commit_model.py
+++ b/features/commit_model.py
@@ -122,7 +122,7 @@
             found.append(self._apply_call(state, call))
         if len(state.senders) == len(KEYS):
             found.append(self._take_over(state))
-        return [state for state in found if state is not None]
+        return [following for following in found if following is not None]
 
     def _make_commit(self, owner, key, sender):
         fence = 1 if owner == 1 else FENCE
