--- a/features/job_api_bench.py
+++ b/features/job_api_bench.py
@@ -1,4 +1,4 @@
-"""An entry's callers' side over a store of a test's own."""
+"""A job API over a store that the test provides."""
 
 from __future__ import annotations
 
--- a/src/rackvalve/manager/job_api.py
+++ b/src/rackvalve/manager/job_api.py
@@ -203,8 +203,8 @@
         path = environ.get("PATH_INFO", "")
         deadline = now + _read_time_limit(environ)
         shown = credentials.read(environ.get(callers.KEY_HEADER))
-        # A known key is checked against a slightly old configuration; a key
-        # is refused only by the newest, as it may have just been added.
+        # A request may be allowed by a slightly old configuration, but refused
+        # only by the newest: its queue or key may have just been added.
         known = self._find_match(host, path, shown).allowed
         since = now - timing.VIEW_AGE_S if known else now
         if not self._revalidator.confirm(since, deadline):
