--- a/features/steps/watch_steps.py
+++ b/features/steps/watch_steps.py
@@ -63,24 +63,24 @@
     context.store = SlowWatchStore(refuses=True)
 
 
-def follow(context):
+def start_watcher(context):
     context.seen = {}
-    context.told = []
+    context.reported = []
 
-    def take(items):
+    def record_items(items):
         for item in items:
             context.seen.setdefault(item.key, time.monotonic())
 
-    def take_changes(changes):
-        context.told.extend(item.key for item in changes.written)
-        take(changes.written)
+    def record_changes(changes):
+        context.reported.extend(item.key for item in changes.written)
+        record_items(changes.written)
 
     watcher = watchers.Watcher(
         context.store,
         PREFIX,
         pace=timing.OWNER_WATCH,
-        on_range=take,
-        on_changes=take_changes,
+        on_range=record_items,
+        on_changes=record_changes,
         on_contact=lambda: None,
     )
     assert watcher.read()
@@ -91,7 +91,7 @@
     "an owner follows its jobs and one is written after {delay:g} seconds"
 )
 def write_job(context, delay):
-    running = follow(context)
+    running = start_watcher(context)
     gevent.sleep(delay)
     store = context.store
     store.items.append(
@@ -111,12 +111,12 @@
 
 @behave.then("no job is told twice as new")
 def check_told_once(context):
-    assert context.told.count(KEY) <= 1, context.told
+    assert context.reported.count(KEY) <= 1, context.told
 
 
 @behave.when("an owner follows its jobs for {seconds:g} seconds")
 def follow_for(context, seconds):
-    running = follow(context)
+    running = start_watcher(context)
     gevent.sleep(seconds)
     running.kill()
 
