--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -39,11 +39,11 @@
 class ActingOwner:
     """One owner that drives the product's cores step by step."""
 
-    def __init__(self, world, store, platform, lives, rules, fence):
+    def __init__(self, world, store, platform, fakes, rules, fence):
         self.world = world
         self.store = store
         self.platform = platform
-        self.lives = lives
+        self.fakes = fakes
         self.rules = rules
         self.fence = fence
         self.deposed = False
@@ -86,11 +86,11 @@
                 self.book.add_job(state, now, now)
         for identity in self.store.cancels:
             self.book.cancel_job(identity, now)
-        for life in self.lives.values():
-            known = self.book.workers.get(life.identity)
-            if life.alive and (known is None or known.entry is None):
-                worker = self.book.set_entry(life.entry())
-                self.book.remove_entry(life.name, now, besides=worker)
+        for fake in self.fakes.values():
+            known = self.book.workers.get(fake.identity)
+            if fake.alive and (known is None or known.entry is None):
+                worker = self.book.set_entry(fake.entry())
+                self.book.remove_entry(fake.name, now, besides=worker)
                 self.raise_token(worker)
 
     def raise_token(self, worker: workers.WorkerState) -> None:
@@ -103,9 +103,9 @@
         """Note that an incarnation has seen a greater token."""
         self.deposed = not self.tokens.catch_up(worker)
 
-    def find_life(self, identity: str):
+    def find_fake(self, identity: str):
         """Return the current incarnation of a worker; ``None`` without one."""
-        return self.lives.get(incarnations.parse_incarnation(identity).worker)
+        return self.fakes.get(incarnations.parse_incarnation(identity).worker)
 
     def make_late_hold(self, identity: str):
         """Return the worker's name and a hold that is carried out later."""
@@ -113,7 +113,7 @@
         seen = self.book.workers[identity].find_acknowledged(self.durable)
         token = self.tokens.find(self.book.workers[identity])
         now = self.world.now
-        return name, lambda life: life.hold(token, seen, None, now)
+        return name, lambda fake: fake.hold(token, seen, None, now)
 
     def make_late_start(
         self, identity: str, task: str, run: int, until: float
@@ -122,7 +122,7 @@
         name = incarnations.parse_incarnation(identity).worker
         worker = self.book.workers.get(identity)
         token = self.fence if worker is None else self.tokens.find(worker)
-        return name, lambda life: life.start(task, run, token, until)
+        return name, lambda fake: fake.start(task, run, token, until)
 
     def write(self) -> None:
         """Commit all changed records, on condition of the ownership."""
@@ -187,7 +187,7 @@
 
     def ask(self, identity: str) -> None:
         """Hold a worker; its answer is handled later."""
-        life = self.find_life(identity)
+        fake = self.find_fake(identity)
         worker = self.book.workers.get(identity)
         if worker is None or worker.location is None or self.deposed:
             return
@@ -196,7 +196,7 @@
             return
         name = worker.life.worker
         reachable = name not in self.unreachable
-        if life is None:
+        if fake is None:
             vm = worker.location.vm
             if reachable and self.platform.is_replaced(vm, name):
                 endings.end_incarnation(
@@ -207,10 +207,10 @@
                     wall=self.world.now,
                 )
             return
-        if life.identity != identity:
-            if reachable and life.answers:
+        if fake.identity != identity:
+            if reachable and fake.answers:
                 later = worker_restarts.note_replaced(
-                    self.book, worker, life.born, self.world.now
+                    self.book, worker, fake.born, self.world.now
                 )
                 if later is not None:
                     self.raise_token(later)
@@ -222,18 +222,18 @@
             until = self.lease_until(identity)
             if until is not None:
                 worker.note_extension(self.world.now, timing.WORKER_LEASE_S)
-        if not reachable or not life.answers:
+        if not reachable or not fake.answers:
             return
         if self.rules.acknowledge:
             seen = worker.find_acknowledged(self.durable)
         else:
             seen = worker.handled
         token = self.tokens.find(worker)
-        report = life.hold(token, seen, until, self.world.now)
+        report = fake.hold(token, seen, until, self.world.now)
         if report is None:
             self.note_refused(worker)
             return
-        self.answers.append((identity, report, life.clock()))
+        self.answers.append((identity, report, fake.clock()))
 
     def take_answers(self) -> None:
         for identity, report, clock in self.answers:
@@ -258,15 +258,15 @@
 
         :return: Whether the owner knows the result.
         """
-        life = self.find_life(order.worker)
-        if life is None or not life.answers or life.name in self.unreachable:
+        fake = self.find_fake(order.worker)
+        if fake is None or not fake.answers or fake.name in self.unreachable:
             return False
         worker = self.book.workers.get(order.worker)
-        if life.identity != order.worker or worker is None:
+        if fake.identity != order.worker or worker is None:
             return False
         if isinstance(order, messages.StopRun):
             token = self.tokens.find(worker)
-            taken = life.stop(order.task, order.run, token)
+            taken = fake.stop(order.task, order.run, token)
             if lose_answer:
                 return False
             if taken:
@@ -276,7 +276,7 @@
             else:
                 self.note_refused(worker)
             return True
-        return self.deliver_start(order, life, lose_answer)
+        return self.deliver_start(order, fake, lose_answer)
 
     def find_wanted(
         self, order: messages.StartRun
@@ -289,7 +289,7 @@
             return None
         return placed
 
-    def deliver_start(self, order, life, lose_answer: bool) -> bool:
+    def deliver_start(self, order, fake, lose_answer: bool) -> bool:
         full = f"{order.job}.{order.task}"
         worker = self.book.workers.get(order.worker)
         placed = self.find_wanted(order)
@@ -300,7 +300,7 @@
             return False
         worker.note_extension(self.world.now, timing.WORKER_LEASE_S)
         token = self.tokens.find(worker)
-        result = life.start(full, order.run, token, until)
+        result = fake.start(full, order.run, token, until)
         key = (order.worker, full, order.run)
         if lose_answer:
             self.uncertain.add(key)
--- a/features/steps/vm_controller_steps.py
+++ b/features/steps/vm_controller_steps.py
@@ -267,11 +267,11 @@
         context.controller.load(context.items)
 
 
-def place_tasks(context, tenths, life="w0"):
+def place_tasks(context, tenths, identity="w0"):
     """Run the owner; return the tenths of a second in which tasks start."""
     found = []
     for tenth in range(tenths):
-        context.bench.report(life, context.bench.rows(life))
+        context.bench.report(identity, context.bench.rows(identity))
         if context.bench.start_all():
             found.append(tenth)
         with mock.patch.object(
@@ -311,7 +311,7 @@
     entry = book.workers["w0"].entry
     book.set_entry(dataclasses.replace(entry, identity="w0x", pool=vms.OTHER))
     context.bench.numbers["w0x"] = 0
-    context.tenths = place_tasks(context, 2, life="w0x")
+    context.tenths = place_tasks(context, 2, identity="w0x")
 
 
 @behave.then("a task is placed there at once")
