--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -9,15 +9,15 @@
 
 from features import job_bench as benches
 from features.steps import late_start_steps
-from rackvalve.manager import contact as contacts
 from rackvalve.manager import timing
+from rackvalve.manager import worker_session as worker_sessions
 from rackvalve.platform import connections
 from rackvalve.platform import workers as clients
 from rackvalve.scheduling import messages
 
 
 class _OverError(Exception):
-    """The time of the scenario is over."""
+    """Ends a scenario at the end of its time."""
 
 
 class SlowWorker:
@@ -27,19 +27,19 @@
         self.now = 100.0
         self.lease = self.now + timing.WORKER_LEASE_S
         self.has_lapsed = False
-        # How late each answer is, in seconds; for how long the owner stands
-        # still in its first hold.
+        # Delay of each answer, and stall of the owner in its first hold, in
+        # seconds.
         self.delay = 0.0
         self.pause = 0.0
-        # What each hold asked for.
+        # End of the lease that each hold asked for.
         self.asked = []
 
     def hold(self, *, lease_until, wait, timeout=timing.ORDER_TIMEOUT_S, **_):
         sent = self.now
         self.asked.append(lease_until)
-        # An answer that is late has had its wait.
+        # A delayed answer includes the wait.
         answered = sent + (self.delay or wait)
-        # A worker that is late takes the lease as late as it can.
+        # A delayed worker applies the new lease at the end of the delay.
         self.has_lapsed |= sent + self.delay > self.lease
         if lease_until is not None:
             self.lease = max(self.lease, lease_until)
@@ -51,18 +51,20 @@
 
 
 class Owner(late_start_steps.FakeOwner):
-    """An owner that hears reports."""
+    """An owner that accepts reports."""
 
-    def take_report(self, worker, report, now):
+    def apply_report(self, worker, report, now):
         worker.last_alive_at = now
 
 
 @behave.given("an owner that has just extended a worker's lease")
-def make_contact(context):
+def make_session(context):
     worker = benches.Bench(["w1"]).book.workers["w1"]
     context.client = SlowWorker()
-    context.contact = contacts.Contact(Owner(True), worker, context.client)
-    context.contact._clock.note(context.client.now, context.client.now)
+    context.session = worker_sessions.WorkerSession(
+        Owner(True), worker, context.client
+    )
+    context.session._clock.note(context.client.now, context.client.now)
 
 
 @behave.when("for 20 s each hold is answered 1.2 s later")
@@ -103,11 +105,11 @@
         return client.now
 
     with (
-        mock.patch.object(contacts.gevent, "sleep", pause),
-        mock.patch.object(contacts.clocks, "read_steady", read),
+        mock.patch.object(worker_sessions.gevent, "sleep", pause),
+        mock.patch.object(worker_sessions.clocks, "read_steady", read),
     ):
         try:
-            context.contact._hold_forever()
+            context.session._hold_forever()
         except _OverError:
             pass
 
@@ -118,37 +120,41 @@
     assert not client.has_lapsed and client.now < client.lease
 
 
-@behave.given("a contact whose client fails at each hold and stop")
+@behave.given("a session whose client fails at each hold and stop")
 def make_failing(context):
     context.client = mock.Mock()
     for call in (context.client.hold, context.client.stop):
         call.side_effect = TypeError("an odd document")
     worker = benches.Bench(["w1"]).book.workers["w1"]
     context.owner = mock.Mock(durable=0)
-    context.contact = contacts.Contact(context.owner, worker, context.client)
+    context.session = worker_sessions.WorkerSession(
+        context.owner, worker, context.client
+    )
 
 
-@behave.given("a contact whose owner fails at each report")
+@behave.given("a session whose owner fails at each report")
 def make_failing_owner(context):
     client = mock.Mock()
     client.hold.return_value = clients.Report(clock=1.0, running=(), ended=())
     client.stop.return_value = clients.Done(clock=1.0)
     worker = benches.Bench(["w1"]).book.workers["w1"]
     context.owner = mock.Mock(durable=0)
-    context.owner.take_report.side_effect = KeyError("half changed")
-    context.contact = contacts.Contact(context.owner, worker, client)
+    context.owner.apply_report.side_effect = KeyError("half changed")
+    context.session = worker_sessions.WorkerSession(
+        context.owner, worker, client
+    )
 
 
 @behave.when("it is started and told to stop a run")
 def start_and_stop(context):
-    context.contact.start()
-    context.contact.send(
+    context.session.start()
+    context.session.send(
         messages.StopRun(worker="w1", task="t", run=1, reason="")
     )
-    with mock.patch.object(contacts.logs, "write_failure") as told:
+    with mock.patch.object(worker_sessions.logs, "write_failure") as told:
         gevent.sleep(0.3)
     context.told = told.call_args_list
-    context.contact.close()
+    context.session.close()
 
 
 @behave.then("its owner stays, the failures are told, and each is tried again")
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -16,7 +16,7 @@
 from rackvalve.jobs import progress
 from rackvalve.jobs import records
 from rackvalve.manager import admission as admissions
-from rackvalve.manager import contact as contacts
+from rackvalve.manager import worker_session as worker_sessions
 from rackvalve.platform import advisers
 from rackvalve.platform import documents
 from rackvalve.platform import reports
@@ -297,22 +297,24 @@
     bench = benches.Bench([EARLIER])
     context.worker = bench.book.workers[EARLIER]
     context.owner = mock.Mock(
-        durable=0, fences=fencing_tokens.FencingTokens(7)
+        durable=0, tokens=fencing_tokens.FencingTokens(7)
     )
     if whose == "it itself":
         later = bench.book.add_incarnation(LATER)
-        context.owner.fences.raise_for(later, 9)
+        context.owner.tokens.raise_for(later, 9)
     client = mock.Mock()
     client.hold.return_value = clients.Rejected(
         clock=1.0, reason=clients.Reason.FENCED
     )
-    contact = contacts.Contact(context.owner, context.worker, client)
-    contact._take_outcome(contact._hold())
+    session = worker_sessions.WorkerSession(
+        context.owner, context.worker, client
+    )
+    session._handle_outcome(session._hold())
 
 
 @behave.then("by that refusal the owner {does}")
 def check_token(context, does):
-    shown = context.owner.fences.find(context.worker)
+    shown = context.owner.tokens.find(context.worker)
     assert shown == (9 if does == "uses that one" else 7), shown
     assert context.owner.depose.called == (does == "is deposed")
 
--- a/src/rackvalve/manager/revalidation.py
+++ b/src/rackvalve/manager/revalidation.py
@@ -46,7 +46,10 @@
         while self._view.confirmed_at < since:
             now = clocks.read_steady()
             left = until - now
-            if left <= 0 or self._view.silence(now) > timing.READY_SILENCE_S:
+            if (
+                left <= 0
+                or self._view.silence(now) > timing.MAX_STORE_SILENCE_S
+            ):
                 return False
             pause = self._compared + timing.COMPARISON_SPACING_S - now
             if self._comparison is not None:
@@ -54,7 +57,7 @@
             elif pause > 0:
                 gevent.sleep(min(left, pause))
             elif not self._compare():
-                gevent.sleep(min(left, timing.STORE_PAUSE_S))
+                gevent.sleep(min(left, timing.STORE_RETRY_DELAY_S))
         return True
 
     def _compare(self) -> bool:
