--- a/features/steps/watch_steps.py
+++ b/features/steps/watch_steps.py
@@ -111,7 +111,7 @@
 
 @behave.then("no job is told twice as new")
 def check_told_once(context):
-    assert context.reported.count(KEY) <= 1, context.told
+    assert context.reported.count(KEY) <= 1, context.reported
 
 
 @behave.when("an owner follows its jobs for {seconds:g} seconds")
