--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -63,7 +63,7 @@
 
 
 @behave.when("its entry turns unreadable")
-def spoil_entry(context):
+def invalidate_entry(context):
     write_entry(context, b"\xff\x00")
 
 
@@ -75,7 +75,7 @@
 
 
 @behave.when("its entry is good again")
-def mend_entry(context):
+def restore_entry(context):
     write_entry(context)
 
 
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -26,7 +26,7 @@
     def __init__(self):
         self.now = 100.0
         self.lease = self.now + timing.WORKER_LEASE_S
-        self.has_lapsed = False
+        self.has_expired = False
         # Delay of each answer, and stall of the owner in its first hold, in
         # seconds.
         self.delay = 0.0
@@ -40,7 +40,7 @@
         # A delayed answer includes the wait.
         answered = sent + (self.delay or wait)
         # A delayed worker applies the new lease at the end of the delay.
-        self.has_lapsed |= sent + self.delay > self.lease
+        self.has_expired |= sent + self.delay > self.lease
         if lease_until is not None:
             self.lease = max(self.lease, lease_until)
         pause, self.pause = self.pause, 0.0
@@ -68,15 +68,15 @@
 
 
 @behave.when("for 20 s each hold is answered 1.2 s later")
-def answer_late(context):
+def delay_answers(context):
     context.client.delay = 1.2
-    hold_on(context)
+    run_holds(context)
 
 
 @behave.when("for 20 s no hold is answered")
-def answer_never(context):
+def lose_answers(context):
     context.client.delay = 100.0
-    hold_on(context)
+    run_holds(context)
 
 
 @behave.then("only the first of them has asked for a longer lease")
@@ -87,12 +87,12 @@
 
 
 @behave.when("for 20 s the owner stands still once, 3.5 s")
-def stand_still(context):
+def stall_owner(context):
     context.client.pause = 3.5
-    hold_on(context)
+    run_holds(context)
 
 
-def hold_on(context):
+def run_holds(context):
     client = context.client
     until = client.now + 20.0
 
@@ -117,7 +117,7 @@
 @behave.then("the lease has not lapsed")
 def check_lease(context):
     client = context.client
-    assert not client.has_lapsed and client.now < client.lease
+    assert not client.has_expired and client.now < client.lease
 
 
 @behave.given("a session whose client fails at each hold and stop")
--- a/features/steps/outage_steps.py
+++ b/features/steps/outage_steps.py
@@ -258,7 +258,7 @@
 
 
 @behave.when("the store says nothing for {seconds:f} s and its leases end")
-def silence_store(context, seconds):
+def make_store_unreachable(context, seconds):
     make_unreachable(context, seconds, None)
 
 
@@ -266,14 +266,14 @@
     "the store says nothing for {seconds:f} s and its leases end, and the "
     "owner dies"
 )
-def silence_and_kill(context, seconds):
+def make_store_unreachable_and_kill(context, seconds):
     kill(context.first)
     context.processes.remove(context.first)
     make_unreachable(context, seconds, None)
 
 
 @behave.when("the owner alone is cut off for {seconds:f} s")
-def cut_owner(context, seconds):
+def isolate_owner(context, seconds):
     make_unreachable(context, seconds, frozenset({context.first.name}))
 
 
@@ -292,7 +292,7 @@
 
 
 @behave.then("nobody else has taken the ownership")
-def check_alone(context):
+def check_no_other_owner(context):
     assert [len(process.owners) for process in context.processes] == [
         1,
         0,
@@ -322,8 +322,8 @@
     "{seconds:f} s after its return another one owns, under a greater token"
 )
 @behave.then("{seconds:f} s later another one owns, under a greater token")
-def check_followed(context, seconds):
-    def is_followed():
+def check_successor(context, seconds):
+    def find_successors():
         return [
             process
             for process in find_owners(context)
@@ -331,7 +331,7 @@
             and process.owners[-1].fence > context.fence
         ]
 
-    wait_until(is_followed, seconds)
+    wait_until(find_successors, seconds)
     assert len(find_owners(context)) == 1
 
 
@@ -389,7 +389,7 @@
 
 
 @behave.then("nobody takes the ownership in the next {seconds:f} s")
-def check_settled(context, seconds):
+def check_no_change(context, seconds):
     before = [len(process.owners) for process in context.processes]
     gevent.sleep(seconds)
     after = [len(process.owners) for process in context.processes]
--- a/src/rackvalve/manager/candidacy.py
+++ b/src/rackvalve/manager/candidacy.py
@@ -1,4 +1,4 @@
-"""Rules of the election: which process goes first, how long its lease is.
+"""Rules of the election: order of the candidates, length of the lease.
 
 The scheduling runs in one process.  On a VM with half a core it falls behind:
 reports wait, leases expire, jobs are late.  So processes on smaller VMs let
--- a/src/rackvalve/manager/election.py
+++ b/src/rackvalve/manager/election.py
@@ -31,7 +31,9 @@
 from rackvalve import telemetry as telemetries
 
 PREFIX = "owner/"
+# The holder key, which ends with the owner's lease.
 KEY = PREFIX + "scheduling"
+# The term key, whose revision is the fencing token.
 TERM_KEY = PREFIX + "term"
 # The last process that requested a handover from the owner.
 REQUEST_KEY = PREFIX + "request"
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -31,9 +31,9 @@
 # Allowed delay of the answer to a watch; a slow store takes 0.2 s.
 WATCH_SLACK_S = 0.6
 # Shorter for the owner's watches of jobs and workers: a store that loses its
-# history may leave watches unanswered (for 1.2 s), and until a
-# watch is answered the owner starts nothing and hands out no VM.  This costs
-# one process at most 13 calls a second, of some 800 of all processes.
+# history may leave watches unanswered for 1.2 s, and until one is answered the
+# owner starts nothing and hands out no VM.  This costs one process at most 13
+# calls a second, of some 800 of all processes.
 OWNER_WATCH_WAIT_S = 0.15
 OWNER_WATCH_SLACK_S = 0.35
 # The owner's slack grows with failures, so that an even slower store is heard.
--- a/src/rackvalve/manager/worker_registry.py
+++ b/src/rackvalve/manager/worker_registry.py
@@ -187,7 +187,7 @@
             self._open_session(later, later.location)
 
     def forget_lost_workers(self, now: float) -> None:
-        """Forget workers without an entry, an answer, a run and a lease.
+        """Forget workers that left: no entry, answers, runs or lease.
 
         :param now: Present time, in seconds.
         """
