--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -95,7 +95,7 @@
 
     def raise_token(self, worker: workers.WorkerState) -> None:
         """Show a life a greater token if the worker has lived before."""
-        others = self.book.workers_by_name.find(worker.life.worker)
+        others = self.book.workers_by_name.find(worker.incarnation.worker)
         if self.rules.raised and len(others) > 1:
             self.tokens.raise_for(worker, self.committed_revision)
 
@@ -192,7 +192,7 @@
         is_asking = self.rules.asking or self.rules.restarting
         if worker.entry is None and not is_asking:
             return
-        name = worker.life.worker
+        name = worker.incarnation.worker
         reachable = name not in self.cut
         if life is None:
             vm = worker.location.vm
--- a/features/jobs.feature
+++ b/features/jobs.feature
@@ -194,7 +194,7 @@
     Given a new owner that has read a cancelled job with a run on a worker
     When the order to stop is due before the worker has an entry
     Then it is sent to the worker once its entry is there
-    And no such order is kept for a worker whose life is over
+    And no such order is kept for a worker whose incarnation is over
 
   # An error in a call to one worker, of a kind that nobody expected, is that
   # worker's silence; where it made the owner give up, each next one met the same.
--- a/features/steps/late_start_steps.py
+++ b/features/steps/late_start_steps.py
@@ -178,7 +178,7 @@
     assert contact.sent == [context.order], contact.sent
 
 
-@behave.then("no such order is kept for a worker whose life is over")
+@behave.then("no such order is kept for a worker whose incarnation is over")
 def check_dropped(context):
     context.roster.end_life(RUNNING_ON, "another life answers")
     context.bench.book.orders.clear()
--- a/src/rackvalve/manager/roster.py
+++ b/src/rackvalve/manager/roster.py
@@ -89,7 +89,7 @@
             present.add(documents.worker_of(item.key))
         now = clocks.read_steady()
         for worker in self._book.workers.values():
-            name = worker.life.worker
+            name = worker.incarnation.worker
             if worker.entry is not None and name not in present:
                 self._book.remove_entry(name, now)
         self._ask_recorded(now)
@@ -223,7 +223,7 @@
             worker.identity,
             timeout=timing.ORDER_TIMEOUT_S,
         )
-        if len(self._book.workers_by_name.find(worker.life.worker)) > 1:
+        if len(self._book.workers_by_name.find(worker.incarnation.worker)) > 1:
             # Calls to the lives before do nothing at this one.
             self._owner.fences.raise_for(
                 worker, self._owner.committed_revision
@@ -247,7 +247,7 @@
             return
         self._log(entry, item.revision)
         worker = self._book.set_entry(entry)
-        name = worker.life.worker
+        name = worker.incarnation.worker
         self._book.remove_entry(name, clocks.read_steady(), besides=worker)
         if worker.identity not in self._contacts:
             contact = self._open_contact(worker, entry.location)
--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -191,9 +191,9 @@
 
         :param entry: Its newest entry.
         """
-        life = incarnations.parse_incarnation(entry.identity)
+        named = incarnations.parse_incarnation(entry.identity)
         # An entry without a birth is of the worker's current incarnation.
-        known = self.find_current(life.worker) if life.born is None else None
+        known = self.find_current(named.worker) if named.born is None else None
         worker = known or self.add_incarnation(entry.identity)
         worker.set_entry(entry)
         worker.set_evacuated(self.evacuated)
@@ -413,7 +413,7 @@
         worker = self.workers.pop(identity, None)
         if worker is None:
             return None
-        self.workers_by_name.remove(worker.life.worker, worker)
+        self.workers_by_name.remove(worker.incarnation.worker, worker)
         if worker.entry is not None:
             self.workers_by_vm.remove(worker.entry.vm, worker)
             self.workers_by_pool.remove(worker.entry.pool, worker)
@@ -475,7 +475,7 @@
         if found is None:
             found = workers.WorkerState(identity, None, self._inherited_until)
             self.workers[identity] = found
-            self.workers_by_name.add(found.life.worker, found)
+            self.workers_by_name.add(found.incarnation.worker, found)
         return found
 
     def move_run(
--- a/src/rackvalve/scheduling/failure_detector.py
+++ b/src/rackvalve/scheduling/failure_detector.py
@@ -75,7 +75,10 @@
         self._listings.take(
             self._maintenance.vms,
             self._maintenance.read,
-            {worker.life.worker for worker in self._book.workers.values()},
+            {
+                worker.incarnation.worker
+                for worker in self._book.workers.values()
+            },
         )
         # Includes workers that only records name, without an entry.
         known = {
@@ -132,7 +135,10 @@
         alive = self._get_last_alive(worker)
         vm = worker.location.vm
         if not self._listings.prove_over(
-            worker.life.worker, vm, began=worker.earliest_start, alive=alive
+            worker.incarnation.worker,
+            vm,
+            began=worker.earliest_start,
+            alive=alive,
         ):
             return False
         worker.note_lost()
--- a/src/rackvalve/scheduling/fencing_tokens.py
+++ b/src/rackvalve/scheduling/fencing_tokens.py
@@ -47,7 +47,7 @@
         :param worker: The incarnation.
         :param committed: Revision of the owner's last commit.
         """
-        name = worker.life.worker
+        name = worker.incarnation.worker
         greatest = max(self._greatest.get(name, self._fence), committed)
         self._greatest[name] = greatest
         self._tokens[worker.identity] = greatest
@@ -59,7 +59,7 @@
         :return: Whether the token is greater now; if not, another owner has
             sent a greater one.
         """
-        greatest = self._greatest.get(worker.life.worker, self._fence)
+        greatest = self._greatest.get(worker.incarnation.worker, self._fence)
         if greatest <= self.find(worker):
             return False
         self._tokens[worker.identity] = greatest
--- a/src/rackvalve/scheduling/worker_restarts.py
+++ b/src/rackvalve/scheduling/worker_restarts.py
@@ -39,7 +39,7 @@
         return None
     earlier.replaced = True
     incarnation = incarnations.Incarnation(
-        worker=earlier.life.worker, born=born
+        worker=earlier.incarnation.worker, born=born
     )
     later = book.add_incarnation(incarnation.identity)
     later.location = later.location or earlier.location
@@ -91,13 +91,13 @@
     """
     return [
         other
-        for other in book.workers_by_name.find(worker.life.worker)
+        for other in book.workers_by_name.find(worker.incarnation.worker)
         if other is not worker
         and (
             other.replaced
             or other.established
             or other.entry is None
-            or other.life.born is None
+            or other.incarnation.born is None
         )
     ]
 
@@ -114,7 +114,7 @@
     """
     reported = {(row.task, row.run) for row in report.running}
     reported |= {(row.task, row.run) for row in report.ended}
-    is_start_unknown = earlier.life.born is None
+    is_start_unknown = earlier.incarnation.born is None
     for key, placed in list(earlier.runs.items()):
         if key in reported or (is_start_unknown and placed.run.inherited):
             book.move_run(placed, later)
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -56,7 +56,7 @@
 
     __slots__ = (
         "identity",
-        "life",
+        "incarnation",
         "replaced",
         "entry",
         "location",
@@ -87,7 +87,7 @@
         self, identity: str, entry: fleet.Entry | None, lease_expiry: float
     ) -> None:
         self.identity = identity
-        self.life = incarnations.parse_incarnation(identity)
+        self.incarnation = incarnations.parse_incarnation(identity)
         # Whether a later incarnation has answered in its place.
         self.replaced = False
         self.entry = entry
