--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -305,7 +305,7 @@
     listed = {"m-2": vms.list_vm("m-2", worker=worker)}
     context.listings = listings.Listings()
     for read in (first, second):
-        context.listings.take(listed, float(read), {name})
+        context.listings.update(listed, float(read), {name})
 
 
 @behave.then("the life is not proved over")
--- a/src/rackvalve/scheduling/failure_detector.py
+++ b/src/rackvalve/scheduling/failure_detector.py
@@ -72,7 +72,7 @@
         :param now: Present time, in seconds.
         :return: Identities of workers that were newly found to be lost.
         """
-        self._listings.take(
+        self._listings.update(
             self._maintenance.vms,
             self._maintenance.read,
             {
--- a/src/rackvalve/scheduling/listings.py
+++ b/src/rackvalve/scheduling/listings.py
@@ -38,7 +38,7 @@
         # When the read of the newest list began, in seconds.
         self._read_at = float("-inf")
 
-    def take(
+    def update(
         self,
         vms: Mapping[str, fleet.Vm],
         read: float,
