--- a/src/rackvalve/scheduling/blockers.py
+++ b/src/rackvalve/scheduling/blockers.py
@@ -228,7 +228,7 @@
             )
         return found
 
-    def is_at_work(self, placed: workers.PlacedRun) -> bool:
+    def is_active(self, placed: workers.PlacedRun) -> bool:
         """Return whether a worker that answers has confirmed a run.
 
         :param placed: The run.
--- a/src/rackvalve/scheduling/stalls.py
+++ b/src/rackvalve/scheduling/stalls.py
@@ -205,7 +205,7 @@
         self, finder: blockers.BlockerFinder, now: float
     ) -> list[StalledJob]:
         """Return the stalled jobs, the longest stalled first."""
-        at_work, idle = self._sort_runs(finder)
+        active, idle = self._sort_runs(finder)
         since: dict[str, float] = {}
         found: list[StalledJob] = []
         self._unjudged = 0
@@ -213,10 +213,10 @@
             if now - state.arrived < STALL_AFTER_S:
                 continue
             if len(since) >= MAX_CHECKED_JOBS:
-                self._unjudged += state.identity not in at_work
+                self._unjudged += state.identity not in active
                 continue
             runs = idle.get(state.identity, [])
-            for part in _find_parts(state, runs, state.identity in at_work):
+            for part in _find_parts(state, runs, state.identity in active):
                 blocker = finder.find(state, part.waiting, part.runs)
                 if blocker is None:
                     continue
@@ -233,15 +233,15 @@
         self, finder: blockers.BlockerFinder
     ) -> tuple[set[str], dict[str, list[workers.PlacedRun]]]:
         """Return the jobs with a run at work, and all other runs by job."""
-        at_work: set[str] = set()
+        active: set[str] = set()
         idle: dict[str, list[workers.PlacedRun]] = {}
         for worker in self._book.workers.values():
             for placed in worker.runs.values():
-                if finder.is_at_work(placed):
-                    at_work.add(placed.state.identity)
+                if finder.is_active(placed):
+                    active.add(placed.state.identity)
                 else:
                     idle.setdefault(placed.state.identity, []).append(placed)
-        return at_work, idle
+        return active, idle
 
     def _find_stall_start(
         self, part: _Part, blocker: blockers.Blocker
@@ -302,11 +302,11 @@
 
 
 def _find_parts(
-    state: progress.JobState, runs: list[workers.PlacedRun], at_work: bool
+    state: progress.JobState, runs: list[workers.PlacedRun], active: bool
 ) -> Iterator[_Part]:
     """Find the parts of a job that have no run at work."""
     if not any(step.lasting for step in state.job.steps):
-        if not at_work:
+        if not active:
             yield _Part(state=state, task="", waiting=state.waiting, runs=runs)
         return
     for name in state.waiting:
