--- a/features/job_cores.py
+++ b/features/job_cores.py
@@ -40,7 +40,7 @@
         handler=reports.Handler(
             book,
             lease=timing.WORKER_LEASE_S,
-            settling=0.0,
+            max_stop_time=0.0,
             hold_wait=timing.HOLD_WAIT_S,
             hold_most=timing.HOLD_MOST_S,
         ),
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -119,7 +119,7 @@
         self._handler = reports.Handler(
             self._book,
             lease=timing.WORKER_LEASE_S,
-            settling=rules.stop_time + timing.STOP_MARGIN_S,
+            max_stop_time=rules.stop_time + timing.STOP_MARGIN_S,
             hold_wait=timing.HOLD_WAIT_S,
             hold_most=timing.HOLD_MOST_S,
         )
--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -51,7 +51,7 @@
 
     :param book: The book.
     :param lease: Length of a lease on a worker, in seconds.
-    :param settling: Longest time that a stop takes, in seconds.
+    :param max_stop_time: Longest time that a stop takes, in seconds.
     :param hold_wait: Longest time that a worker waits before it answers a
         hold, in seconds.
     :param hold_most: Longest time that a hold takes, in seconds.
@@ -60,7 +60,7 @@
     __slots__ = (
         "_book",
         "_lease",
-        "_settling",
+        "_max_stop_time",
         "_hold_wait",
         "_hold_most",
         "ended",
@@ -72,13 +72,13 @@
         book: books.Book,
         *,
         lease: float,
-        settling: float,
+        max_stop_time: float,
         hold_wait: float,
         hold_most: float,
     ) -> None:
         self._book = book
         self._lease = lease
-        self._settling = settling
+        self._max_stop_time = max_stop_time
         self._hold_wait = hold_wait
         self._hold_most = hold_most
         # Handled ends that are not logged yet.
@@ -129,7 +129,7 @@
             if key not in worker.runs:
                 self._stop_unknown(worker, key)
         if not worker.established:
-            worker.note_established(now, self._lease, self._settling)
+            worker.note_established(now, self._lease, self._max_stop_time)
             worker.earliest_start = now - report.clock
 
     def _apply_end(
--- a/src/rackvalve/scheduling/workers.py
+++ b/src/rackvalve/scheduling/workers.py
@@ -175,7 +175,7 @@
         self.lease_expiry = max(self.lease_expiry, over)
 
     def note_established(
-        self, now: float, length: float, settling: float
+        self, now: float, length: float, max_stop_time: float
     ) -> None:
         """Note that the worker has accepted this owner's fencing token.
 
@@ -184,11 +184,11 @@
 
         :param now: Present time, in seconds.
         :param length: Length of a lease, in seconds.
-        :param settling: Longest time that a stop takes, in seconds; an earlier
-            owner may have ordered one just before.
+        :param max_stop_time: Longest time that a stop takes, in seconds; an
+            earlier owner may have ordered one just before.
         """
         self.established = True
-        self.inherited_stops_end = now + settling
+        self.inherited_stops_end = now + max_stop_time
         self.lease_expiry = float("-inf")
         self.note_extension(now, length)
 
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -76,7 +76,7 @@
         self.handler = reports.Handler(
             self.book,
             lease=timing.WORKER_LEASE_S,
-            settling=0.0,
+            max_stop_time=0.0,
             hold_wait=timing.HOLD_WAIT_S,
             hold_most=timing.HOLD_MOST_S,
         )
