--- a/src/rackvalve/scheduling/stalls.py
+++ b/src/rackvalve/scheduling/stalls.py
@@ -1,8 +1,9 @@
-"""Detects stalled jobs: a task's turn has come and no run is at work.
+"""Detects stalled jobs: a task's turn has come and no run is active.
 
-Each task of a lasting job serves by itself and is checked by itself.  The
-owner scans once a second, after planning; a run that starts and ends between
-two scans counts as progress.
+A run is active if a worker that answers has confirmed it.  Each task of a
+lasting job serves by itself and is checked by itself.  The owner scans once a
+second, after planning; a run that starts and ends between two scans counts as
+progress.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 from rackvalve.scheduling import planner as planners
 from rackvalve.scheduling import workers
 
-# A job is stalled after this time with no run at work, in seconds: half of the
+# A job is stalled after this time with no active run, in seconds: half of the
 # pause that the users accept.  A start takes up to 0.3 s with a slow store.
 STALL_AFTER_S = 1.5
 # A start in progress for less than this is no stall, in seconds; a slow store
@@ -35,7 +36,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class _Part:
-    """A job, or one task of a lasting job, with no run at work.
+    """A job, or one task of a lasting job, with no active run.
 
     :param state: The job.
     :param task: Name of the task; empty for the whole job.
@@ -114,7 +115,7 @@
 
     :param pools: Pools with stalled jobs.
     :param jobs: Stalled jobs that were not reported with this cause before.
-    :param unjudged: Number of jobs with no run at work that were left out,
+    :param unjudged: Number of jobs with no active run that were left out,
         since a scan checks a limited number.
     """
 
@@ -136,7 +137,7 @@
     :param book: The book.
     :param planner: Its planner.
     :param freshness: Longest age of a worker's last answer for its runs to
-        count as at work, in seconds.
+        count as active, in seconds.
     """
 
     __slots__ = (
@@ -169,7 +170,7 @@
         self._unjudged = 0
 
     def note_end(self, task: str) -> None:
-        """Note that a run that was at work has ended.
+        """Note that an active run has ended.
 
         :param task: Full name of the task.
         """
@@ -232,7 +233,7 @@
     def _sort_runs(
         self, finder: blockers.BlockerFinder
     ) -> tuple[set[str], dict[str, list[workers.PlacedRun]]]:
-        """Return the jobs with a run at work, and all other runs by job."""
+        """Return the jobs with an active run, and all other runs by job."""
         active: set[str] = set()
         idle: dict[str, list[workers.PlacedRun]] = {}
         for worker in self._book.workers.values():
@@ -253,7 +254,7 @@
         if state.next_run == 1:
             # A repeated task is due long after its job was accepted.
             return blocker.since if state.job.repetitions else state.arrived
-        # At the last scan a run of it was at work.
+        # At the last scan it had an active run.
         return max(blocker.since, self._scanned_at)
 
     def _summarize(
@@ -304,7 +305,7 @@
 def _find_parts(
     state: progress.JobState, runs: list[workers.PlacedRun], active: bool
 ) -> Iterator[_Part]:
-    """Find the parts of a job that have no run at work."""
+    """Find the parts of a job that have no active run."""
     if not any(step.lasting for step in state.job.steps):
         if not active:
             yield _Part(state=state, task="", waiting=state.waiting, runs=runs)
