--- a/src/rackvalve/manager/job_api.py
+++ b/src/rackvalve/manager/job_api.py
@@ -192,7 +192,7 @@
     def _choose_retry_after(self) -> int:
         """Return the value of Retry-After, in seconds."""
         silence = self._view.silence(clocks.read_steady())
-        if silence > timing.READY_SILENCE_S:
+        if silence > timing.MAX_STORE_SILENCE_S:
             return timing.RETRY_AFTER_OUTAGE_S
         return timing.RETRY_AFTER_S
 
@@ -203,10 +203,10 @@
         path = environ.get("PATH_INFO", "")
         deadline = now + _read_time_limit(environ)
         shown = credentials.read(environ.get(callers.KEY_HEADER))
-        # A known key is checked against a slightly old configuration; a key
-        # is refused only by the newest, as it may have just been added.
+        # A request may be allowed by a slightly old configuration, but refused
+        # only by the newest: its queue or key may have just been added.
         known = self._find_match(host, path, shown).allowed
-        since = now - timing.VIEW_AGE_S if known else now
+        since = now - timing.MAX_VIEW_AGE_S if known else now
         if not self._revalidator.confirm(since, deadline):
             return _refuse("the configuration could not be revalidated")
         match = self._find_match(host, path, shown)
@@ -303,7 +303,7 @@
         if self._is_stopping():
             return _refuse("this process is shutting down")
         silence = self._view.silence(clocks.read_steady())
-        if silence > timing.READY_SILENCE_S:
+        if silence > timing.MAX_STORE_SILENCE_S:
             # No write is sent, so none can take effect after the refusal.
             return _refuse("the store does not answer this process")
         return self._store_job(request, job)
@@ -334,7 +334,7 @@
             if isinstance(outcome, stores.Unknown):
                 uncertain = True
             reason = getattr(outcome, "reason", "lease over")
-            gevent.sleep(timing.STORE_PAUSE_S)
+            gevent.sleep(timing.STORE_RETRY_DELAY_S)
         if uncertain:
             return Reply(
                 status=http.HTTPStatus.GATEWAY_TIMEOUT,
@@ -392,7 +392,7 @@
                 return found
             if clocks.read_steady() >= request.deadline:
                 return found
-            gevent.sleep(timing.STORE_PAUSE_S)
+            gevent.sleep(timing.STORE_RETRY_DELAY_S)
 
     def _cancel(self, request: Request) -> Reply:
         phase = self._read_phase(request)
@@ -420,7 +420,7 @@
                 )
                 return Reply(status=http.HTTPStatus.OK)
             reason = getattr(outcome, "reason", "lease over")
-            gevent.sleep(timing.STORE_PAUSE_S)
+            gevent.sleep(timing.STORE_RETRY_DELAY_S)
         return Reply(
             status=http.HTTPStatus.GATEWAY_TIMEOUT,
             reason=f"the cancellation was not recorded: {reason}",
--- a/src/rackvalve/manager/roster.py
+++ b/src/rackvalve/manager/worker_registry.py
@@ -1,4 +1,8 @@
-"""Follows the entries of workers and keeps a contact with each of them."""
+"""Registry of one owner's workers, with a session for each of them.
+
+The owner's watch over the workers' entries feeds it, and the owner sends
+orders to workers through it.
+"""
 
 from __future__ import annotations
 
@@ -11,9 +15,9 @@
 from rackvalve.jobs import incarnations
 from rackvalve.jobs import progress
 from rackvalve import logs
-from rackvalve.manager import contact as contacts
 from rackvalve.manager import protocols
 from rackvalve.manager import timing
+from rackvalve.manager import worker_session as worker_sessions
 from rackvalve.platform import documents
 from rackvalve.platform import store as stores
 from rackvalve.platform import workers as clients
@@ -26,15 +30,21 @@
 from rackvalve.scheduling import workers
 
 
-class Roster:
-    """The workers of one owner.
+class WorkerRegistry:
+    """Applies workers' entries to the book and opens and closes sessions.
 
-    :param owner: Whom contacts tell what workers say.
+    :param owner: Receives the reports and answers of workers.
     :param book: The owner's book.
-    :param on_change: Called after workers came, changed or went.
+    :param on_change: Called after workers were added, changed or removed.
     """
 
-    __slots__ = ("_owner", "_book", "_on_change", "_contacts", "_early")
+    __slots__ = (
+        "_owner",
+        "_book",
+        "_on_change",
+        "_sessions",
+        "_pending_stops",
+    )
 
     def __init__(
         self,
@@ -46,62 +56,64 @@
         self._owner = owner
         self._book = book
         self._on_change = on_change
-        self._contacts: dict[str, contacts.Contact] = {}
-        # Orders to stop runs on workers whose entries are not there yet: an
-        # entry may be away for some seconds while its worker runs on.
-        self._early: dict[str, list[messages.StopRun]] = {}
+        self._sessions: dict[str, worker_sessions.WorkerSession] = {}
+        # Orders to stop runs on workers without a session: an entry may be
+        # missing for some seconds while its worker goes on.
+        self._pending_stops: dict[str, list[messages.StopRun]] = {}
 
-    def contact(self, identity: str) -> contacts.Contact | None:
-        """Return the contact with a worker.
+    def find_session(
+        self, identity: str
+    ) -> worker_sessions.WorkerSession | None:
+        """Return the session with a worker; ``None`` if there is none.
 
         :param identity: The worker.
         """
-        return self._contacts.get(identity)
+        return self._sessions.get(identity)
 
     def send(self, order: messages.Order) -> bool:
         """Send an order to its worker; keep a stop until it has an entry.
 
         :param order: The order.
-        :return: Whether there is a contact with the worker.
+        :return: Whether there is a session with the worker.
         """
-        contact = self._contacts.get(order.worker)
-        if contact is not None:
-            contact.send(order)
+        session = self._sessions.get(order.worker)
+        if session is not None:
+            session.send(order)
             return True
         if isinstance(order, messages.StopRun):
-            self._early.setdefault(order.worker, []).append(order)
+            self._pending_stops.setdefault(order.worker, []).append(order)
         return False
 
     def close(self) -> None:
-        """End all contacts; what runs on workers runs on."""
-        for contact in self._contacts.values():
-            contact.close()
-        self._contacts.clear()
+        """Close all sessions; runs on workers go on."""
+        for session in self._sessions.values():
+            session.close()
+        self._sessions.clear()
 
-    def take_range(self, items: tuple[stores.Item, ...]) -> None:
-        """Take all entries, at first and after lost history.
+    def apply_range(self, items: tuple[stores.Item, ...]) -> None:
+        """Apply all entries, at first and after the store lost its history.
 
         :param items: All entries.
         """
         present = set()
         for item in items:
-            self._take(item)
+            self._apply_entry(item)
             present.add(documents.worker_of(item.key))
         now = clocks.read_steady()
         for worker in self._book.workers.values():
             name = worker.incarnation.worker
             if worker.entry is not None and name not in present:
                 self._book.remove_entry(name, now)
-        self._ask_recorded(now)
+        self._open_recorded(now)
         self._on_change()
 
-    def take_changes(self, changes: stores.Changes) -> None:
-        """Take entries that were just written or removed.
+    def apply_changes(self, changes: stores.Changes) -> None:
+        """Apply entries that were just written or removed.
 
         :param changes: The changes.
         """
         for item in changes.written:
-            self._take(item)
+            self._apply_entry(item)
         now = clocks.read_steady()
         written = {item.key: item.revision for item in changes.written}
         for key, revision in changes.removed:
@@ -109,13 +121,15 @@
                 self._book.remove_entry(documents.worker_of(key), now)
         self._on_change()
 
-    def end_life(self, identity: str, reason: str) -> releases.Release | None:
-        """Forget a worker whose life is over.
+    def end_incarnation(
+        self, identity: str, reason: str
+    ) -> releases.Release | None:
+        """Forget a worker's incarnation that is over.
 
         :param identity: The worker.
-        :param reason: What proves it.
-        :return: The runs that are over by that; ``None`` for a worker that
-            is not known.
+        :param reason: How it is known to be over.
+        :return: The runs that are over with it; ``None`` for an unknown
+            worker.
         """
         self.forget(identity)
         worker = self._book.workers.get(identity)
@@ -138,21 +152,23 @@
         return release
 
     def forget(self, identity: str) -> None:
-        """End the contact with a life that is over.
+        """Close the session with an incarnation that is over.
 
-        :param identity: The life.
+        :param identity: The incarnation.
         """
-        self._early.pop(identity, None)
-        self._owner.fences.forget(identity)
-        contact = self._contacts.pop(identity, None)
-        if contact is not None:
-            # May be called by one of the contact's own greenlets.
-            gevent.spawn(contact.close)
-
-    def follow(self, worker: workers.WorkerState, born: int) -> None:
-        """Ask the life that answers in place of another one.
+        self._pending_stops.pop(identity, None)
+        self._owner.tokens.forget(identity)
+        session = self._sessions.pop(identity, None)
+        if session is not None:
+            # In another greenlet, as one of the session's own may call this.
+            gevent.spawn(session.close)
+
+    def switch_incarnation(
+        self, worker: workers.WorkerState, born: int
+    ) -> None:
+        """Open a session with the incarnation that replaces another one.
 
-        :param worker: The earlier one.
+        :param worker: The earlier incarnation.
         :param born: When the later one began, in milliseconds since 1970.
         """
         now = clocks.read_steady()
@@ -167,11 +183,11 @@
             runs=len(worker.runs),
         )
         self.forget(worker.identity)
-        if later.identity not in self._contacts:
-            self._open_contact(later, later.location)
+        if later.identity not in self._sessions:
+            self._open_session(later, later.location)
 
-    def forget_gone(self, now: float) -> None:
-        """Forget workers that have left: no entry, no answer, no lease.
+    def forget_lost_workers(self, now: float) -> None:
+        """Forget workers without an entry, an answer, a run and a lease.
 
         :param now: Present time, in seconds.
         """
@@ -184,20 +200,22 @@
                 and now - worker.last_alive_at > timing.ENTRY_GRACE_S
             )
             if worker.entry is None or worker.replaced or is_missing:
-                self.end_life(identity, "its entry is gone, it is silent")
+                self.end_incarnation(
+                    identity, "its entry is gone, it is silent"
+                )
 
-    def _ask_recorded(self, now: float) -> None:
-        """Open contacts with workers that only jobs' records name.
+    def _open_recorded(self, now: float) -> None:
+        """Open sessions with workers that only jobs' records name.
 
-        Their entries are gone, perhaps with them.  The worker itself, or
-        another life at its address, can still tell what became of the runs;
-        else each owner in turn would wait for the longest lease that an
-        earlier one may have given.
+        Their entries are missing and they may have ended.  The worker, or
+        another incarnation at its address, can still report what became of
+        the runs; otherwise each owner in turn would wait for the longest lease
+        that an earlier one may have granted.
         """
         for identity, worker in self._book.workers.items():
             if worker.entry is not None or worker.location is None:
                 continue
-            if identity in self._contacts:
+            if identity in self._sessions:
                 continue
             if worker.entry_missing_since is None:
                 worker.entry_missing_since = now
@@ -207,15 +225,15 @@
                 on_vm=worker.location.vm,
                 runs=len(worker.runs),
             )
-            self._open_contact(worker, worker.location)
+            self._open_session(worker, worker.location)
 
-    def _open_contact(
+    def _open_session(
         self, worker: workers.WorkerState, location: progress.Location
-    ) -> contacts.Contact:
-        """Begin to ask a worker.
+    ) -> worker_sessions.WorkerSession:
+        """Open the session with a worker.
 
         :param worker: The worker.
-        :param location: Where it can be asked.
+        :param location: Address of the worker.
         """
         client = clients.Worker(
             location.host,
@@ -224,37 +242,38 @@
             timeout=timing.ORDER_TIMEOUT_S,
         )
         if len(self._book.workers_by_name.find(worker.incarnation.worker)) > 1:
-            # Calls to the lives before do nothing at this one.
-            self._owner.fences.raise_for(
+            # A greater token, so that this incarnation rejects calls that
+            # were sent to earlier ones.
+            self._owner.tokens.raise_for(
                 worker, self._owner.committed_revision
             )
-        contact = contacts.Contact(self._owner, worker, client)
-        self._contacts[worker.identity] = contact
-        contact.start()
-        return contact
+        session = worker_sessions.WorkerSession(self._owner, worker, client)
+        self._sessions[worker.identity] = session
+        session.start()
+        return session
 
-    def _take(self, item: stores.Item) -> None:
+    def _apply_entry(self, item: stores.Item) -> None:
         try:
             entry = documents.read_worker(item.key, item.payload)
         except errors.DocumentInvalidError as error:
             logs.write_warning(
                 "document.rejected", key=item.key, reason=error.reason
             )
-            # It names no worker to use; a life that had a good one before
-            # is not over by that.
+            # The worker gets no work, but an incarnation that had a valid
+            # entry before is not over.
             name = documents.worker_of(item.key)
             self._book.remove_entry(name, clocks.read_steady())
             return
-        self._log(entry, item.revision)
+        self._log_entry(entry, item.revision)
         worker = self._book.set_entry(entry)
         name = worker.incarnation.worker
         self._book.remove_entry(name, clocks.read_steady(), besides=worker)
-        if worker.identity not in self._contacts:
-            contact = self._open_contact(worker, entry.location)
-            for order in self._early.pop(worker.identity, []):
-                contact.send(order)
+        if worker.identity not in self._sessions:
+            session = self._open_session(worker, entry.location)
+            for order in self._pending_stops.pop(worker.identity, []):
+                session.send(order)
 
-    def _log(self, entry: fleet.Entry, revision: int) -> None:
+    def _log_entry(self, entry: fleet.Entry, revision: int) -> None:
         known = self._book.workers.get(entry.identity)
         if known is None or known.entry is None:
             logs.write_event(
