--- a/src/rackvalve/manager/admission.py
+++ b/src/rackvalve/manager/admission.py
@@ -113,7 +113,9 @@
             and worker.identity not in denied
         ]
         found.sort(key=lambda worker: -worker.free.cpu)
-        return [worker.identity for worker in found[: timing.ADMISSION_MOST]]
+        return [
+            worker.identity for worker in found[: timing.MAX_ADMISSION_WORKERS]
+        ]
 
     def _ask_service(
         self, step: str, names: list[str], limits: queues.AdmissionLimits
@@ -122,7 +124,7 @@
             logs.write_warning(
                 "admission.failed", step=step, reason="no service is set"
             )
-            gevent.sleep(timing.ADMISSION_PAUSE_S)
+            gevent.sleep(timing.ADMISSION_RETRY_DELAY_S)
             return
         expected = limits.decide_time + limits.worker_time * len(names)
         answer = self._adviser.ask(
@@ -132,11 +134,11 @@
             logs.write_warning(
                 "admission.failed", step=step, reason=answer.reason
             )
-            gevent.sleep(timing.ADMISSION_PAUSE_S)
+            gevent.sleep(timing.ADMISSION_RETRY_DELAY_S)
             return
         now = clocks.read_steady()
-        valid = (answer.valid or limits.valid) - timing.ADMISSION_MARGIN_S
-        self._expiry[step] = now + max(valid, timing.ADMISSION_MARGIN_S)
+        valid = (answer.valid or limits.valid) - timing.TICKET_EXPIRY_MARGIN_S
+        self._expiry[step] = now + max(valid, timing.TICKET_EXPIRY_MARGIN_S)
         denied = set(names) - answer.tickets.keys()
         self._denied.setdefault(step, set()).update(denied)
         self._planner.tickets[step] = answer.tickets
