--- a/src/rackvalve/manager/protocols.py
+++ b/src/rackvalve/manager/protocols.py
@@ -1,4 +1,7 @@
-"""What the tasks of one owner, and the election, need of it and no more."""
+"""Protocols of the owner, as the election and worker sessions see it.
+
+They keep these modules from importing ``owner``.
+"""
 
 from __future__ import annotations
 
@@ -10,49 +13,49 @@
 
 
 class ElectedOwner(Protocol):
-    """One owner as the election sees it.
+    """The owner as the election sees it.
 
-    :ivar fence: Its fencing token.
-    :ivar deposed: How it learned of another owner; empty while it has not.
+    :ivar fence: The owner's fencing token.
+    :ivar deposed: Why the owner was deposed or stopped; empty before that.
     """
 
     fence: int
     deposed: str
 
     def start(self) -> None:
-        """Begin to schedule."""
+        """Start scheduling."""
 
     def stop(self, reason: str) -> None:
-        """End all work at once; what runs on workers runs on.
+        """Stop scheduling at once; runs on workers continue.
 
-        :param reason: Why, for logs.
+        :param reason: The reason, for logs.
         """
 
     def note_confirmation(self, now: float) -> None:
-        """Note that the store knew this process as the owner.
+        """Record that the store confirmed this process as the owner.
 
-        :param now: When the call that told so was sent, in seconds.
+        :param now: When the confirming call was sent, in seconds.
         """
 
 
 class SessionOwner(Protocol):
-    """One owner as its sessions with workers see it.
+    """The owner as its worker sessions see it.
 
-    :ivar tokens: The fencing tokens that it shows to workers.
+    :ivar tokens: The fencing tokens that the owner shows to workers.
     """
 
     tokens: fencing_tokens.FencingTokens
 
     @property
     def committed_revision(self) -> int:
-        """The store's revision of the newest commit; 0 before the first."""
+        """The store's revision of the last commit; 0 before the first."""
 
     @property
     def durable(self) -> int:
-        """Number of the last write that is in the store."""
+        """Sequence number up to which all writes are in the store."""
 
     def wait_for_commit(self, timeout: float) -> None:
-        """Wait until something more may be in the store.
+        """Wait until the next commit is in the store.
 
         :param timeout: Longest wait, in seconds.
         """
@@ -64,9 +67,9 @@
         """
 
     def depose(self, reason: str) -> None:
-        """Note that another owner has taken over.
+        """Record that another owner has taken over.
 
-        :param reason: How that was learned.
+        :param reason: How this owner learned that.
         """
 
     def apply_report(
@@ -85,15 +88,15 @@
         result: messages.StartResult,
         uncertain: bool,
     ) -> None:
-        """Apply what became of an order to start a run.
+        """Apply the result of an order to start a run.
 
         :param placed: The run.
-        :param result: What the worker said.
-        :param uncertain: Whether an earlier try may still be carried out.
+        :param result: The worker's answer.
+        :param uncertain: Whether an earlier attempt may still take effect.
         """
 
     def confirm_stop(self, worker: str, key: workers.RunKey) -> None:
-        """Note that a worker has taken an order to stop a run.
+        """Record that a worker has accepted an order to stop a run.
 
         :param worker: Identity of the worker.
         :param key: Full name of the task and number of the run.
@@ -102,15 +105,15 @@
     def switch_incarnation(
         self, worker: workers.WorkerState, born: int
     ) -> None:
-        """Turn to the life that answers in place of an earlier one.
+        """Switch to the incarnation that answers in place of an earlier one.
 
-        :param worker: The earlier one.
+        :param worker: The worker's earlier incarnation.
         :param born: When the later one began, in milliseconds since 1970.
         """
 
     def end_incarnation(self, identity: str, reason: str) -> None:
-        """Forget a worker whose life is over.
+        """Remove a worker whose incarnation has ended.
 
-        :param identity: The worker.
-        :param reason: What proves it.
+        :param identity: The worker's identity.
+        :param reason: The proof that it has ended.
         """
