--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -95,7 +95,7 @@
 
     def raise_token(self, worker: workers.WorkerState) -> None:
         """Raise the token for an incarnation that has a predecessor."""
-        others = self.book.workers_by_name.find(worker.life.worker)
+        others = self.book.workers_by_name.find(worker.incarnation.worker)
         if self.rules.raised and len(others) > 1:
             self.tokens.raise_for(worker, self.committed_revision)
 
@@ -194,7 +194,7 @@
         is_asking = self.rules.asking or self.rules.restarting
         if worker.entry is None and not is_asking:
             return
-        name = worker.life.worker
+        name = worker.incarnation.worker
         reachable = name not in self.unreachable
         if life is None:
             vm = worker.location.vm
--- a/src/rackvalve/manager/worker_registry.py
+++ b/src/rackvalve/manager/worker_registry.py
@@ -101,7 +101,7 @@
             present.add(documents.worker_of(item.key))
         now = clocks.read_steady()
         for worker in self._book.workers.values():
-            name = worker.life.worker
+            name = worker.incarnation.worker
             if worker.entry is not None and name not in present:
                 self._book.remove_entry(name, now)
         self._open_recorded(now)
@@ -241,7 +241,7 @@
             worker.identity,
             timeout=timing.ORDER_TIMEOUT_S,
         )
-        if len(self._book.workers_by_name.find(worker.life.worker)) > 1:
+        if len(self._book.workers_by_name.find(worker.incarnation.worker)) > 1:
             # A greater token, so that this incarnation rejects calls that
             # were sent to earlier ones.
             self._owner.tokens.raise_for(
@@ -266,7 +266,7 @@
             return
         self._log_entry(entry, item.revision)
         worker = self._book.set_entry(entry)
-        name = worker.life.worker
+        name = worker.incarnation.worker
         self._book.remove_entry(name, clocks.read_steady(), besides=worker)
         if worker.identity not in self._sessions:
             session = self._open_session(worker, entry.location)
