--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -274,18 +274,18 @@
 
 @behave.then("no other VM is maintained before those are back")
 def check_counted(context):
-    bench, wave = context.bench, context.maintenance
+    bench, planner = context.bench, context.maintenance
     bench.now += 30.0
-    assert not wave.decide(bench.now)
+    assert not planner.decide(bench.now)
     # The platform carries the orders out only now.
-    wave.held = frozenset()
-    wave.take_list(
+    planner.held = frozenset()
+    planner.take_list(
         [vms.list_vm(vm, up=vm not in context.ordered) for vm in context.vms],
         bench.now,
     )
-    assert not wave.decide(bench.now)
-    wave.take_list([vms.list_vm(vm) for vm in context.vms], bench.now)
-    assert wave.decide(bench.now)
+    assert not planner.decide(bench.now)
+    planner.take_list([vms.list_vm(vm) for vm in context.vms], bench.now)
+    assert planner.decide(bench.now)
 
 
 @behave.given('a life "{name}" on the VM "{vm}", last heard at {heard:d} s')
--- a/features/steps/turn_steps.py
+++ b/features/steps/turn_steps.py
@@ -147,7 +147,7 @@
 
 
 @behave.then(
-    "no job with nothing started stands for 3 s while a later one starts"
+    "no job with nothing started waits for 3 s while a later one starts"
 )
 def check_not_overtaken(context):
     assert not context.overtaken, context.overtaken[-3:]
--- a/features/turns.feature
+++ b/features/turns.feature
@@ -46,4 +46,4 @@
   Scenario: In a burst beyond its pool no job starves while later ones start
     Given a pool of 1 VM that bears 4 tasks at once, each of 1 s
     When a job of one task comes each 0.1 s for 12 s
-    Then no job with nothing started stands for 3 s while a later one starts
+    Then no job with nothing started waits for 3 s while a later one starts
--- a/features/upkeep.feature
+++ b/features/upkeep.feature
@@ -135,7 +135,7 @@
     Then nothing is placed without a ticket
     And a task goes to the admitted worker and brings its ticket
 
-  Scenario: An order to a VM is given only on a fresh word of the store
+  Scenario: An order to a VM is given only after a fresh answer of the store
     Given an owner that is frozen for 5 seconds while the store answers it
     When it gives an order to a VM
     Then it asks the store again before the order is sent
--- a/src/rackvalve/scheduling/maintenance.py
+++ b/src/rackvalve/scheduling/maintenance.py
@@ -106,7 +106,8 @@
         # VMs whose order may have reached the platform, with the time of its
         # answer; ``None`` until then.
         self.ordered: dict[str, float | None] = {}
-        # VMs that were maintained and are back.
+        # VMs that were maintained and are back, or that the platform refused
+        # for good.
         self.done: set[str] = set()
         self.not_before: dict[str, float] = {}
         self.complete = False
@@ -209,8 +210,8 @@
             if not state.complete:
                 self._reopen(state, now)
                 self._close(state, now, short=short, reserved=reserved)
-                chosen.extend(self._choose(state, now))
-                self._finish(state)
+                chosen.extend(self._choose_orders(state, now))
+                self._update_complete(state)
         return chosen
 
     def note_ordered(self, order: MaintainVm, now: float) -> None:
@@ -239,7 +240,7 @@
             state.not_before[order.vm] = now + REFUSED_DELAY_S
 
     def find_workers(self, vm: str) -> list[workers.WorkerState]:
-        """Return the lives of workers that may be on a VM.
+        """Return the incarnations of workers that may be on a VM.
 
         The platform's list may be older than a worker's own entry, and the
         other way round.
@@ -300,7 +301,9 @@
             if state.complete:
                 continue
             left = sum(
-                1 for vm in state.list_remaining() if self._is_in(vm, pool)
+                1
+                for vm in state.list_remaining()
+                if self._is_in_pool(vm, pool)
             )
             # No more than the wave closes: four waves over all VMs at once
             # made a pool keep 6 idle VMs and ask for 30, while another pool's
@@ -404,7 +407,7 @@
         listed = self.vms.get(vm)
         return listed is not None and listed.lost
 
-    def _is_in(self, vm: str, pool: str) -> bool:
+    def _is_in_pool(self, vm: str, pool: str) -> bool:
         listed = self.vms.get(vm)
         return listed is not None and listed.pool == pool
 
@@ -451,7 +454,7 @@
             if not state.complete
         )
 
-    def _choose(self, state: WaveState, now: float) -> list[MaintainVm]:
+    def _choose_orders(self, state: WaveState, now: float) -> list[MaintainVm]:
         chosen = []
         away = self._find_away(state)
         for vm in state.list_remaining():
@@ -482,5 +485,5 @@
         }
         return state.ordered.keys() | listed | (state.closed & self.held)
 
-    def _finish(self, state: WaveState) -> None:
+    def _update_complete(self, state: WaveState) -> None:
         state.complete = not state.list_remaining() and not state.ordered
--- a/src/rackvalve/scheduling/objectives.py
+++ b/src/rackvalve/scheduling/objectives.py
@@ -13,7 +13,7 @@
 # A job without a start for this long is ordered like jobs in time, late or
 # not, in seconds: an accepted job must not wait for 3 s while later jobs of
 # its queue start.  This costs 0.004 of a day's value while bursts exceed the
-# pools (standard error 0.002).
+# pools.
 STARVATION_S = 2.0
 
 
--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -34,11 +34,11 @@
 # its speed still progresses each second.
 STALL_TIMEOUT_S = 1.2
 # Least time that a restart must save for a run to leave a slow worker, in
-# seconds.  Stopping a run and ordering its task again takes 0.3 to 0.9 s (79
-# cases); the lower end applies, as the remaining time is underestimated while
-# a worker is getting slow.
+# seconds.  Stopping a run and ordering its task again takes 0.3 to 0.9 s; the
+# lower end applies, as the remaining time is underestimated while a worker is
+# getting slow.
 MIN_RESTART_GAIN_S = 0.4
-# A lasting task that is not ready this long after its start is started
+# A lasting task that is not ready this long after its last progress is started
 # elsewhere, in seconds; tasks take up to 1.8 s to be ready.
 READY_TIMEOUT_S = 5.0
 # The task may have become ready since its worker's last report, so its stop
@@ -111,7 +111,7 @@
             if pool not in waiting:
                 view.reserved = {}
         for pool, states in waiting.items():
-            view = self._view(pool, now)
+            view = self._refresh_view(pool, now)
             if not view.members:
                 continue
             states.sort(key=lambda state: self._urgency(state, now))
@@ -168,7 +168,7 @@
             if not _may_copy(placed):
                 continue
             if queue.pool not in views:
-                views[queue.pool] = self._view(queue.pool, now)
+                views[queue.pool] = self._refresh_view(queue.pool, now)
             self._place_copy(views[queue.pool], placed, now)
 
     def _place_copy(
@@ -216,7 +216,7 @@
             return False
         return any(
             other.free.fits(placed.need)
-            for other in self._view(entry.pool, now).members
+            for other in self._refresh_view(entry.pool, now).members
             if other.identity != placed.run.worker
         )
 
@@ -316,7 +316,7 @@
         view = self._views.get(pool)
         return view.reserved.keys() if view is not None else ()
 
-    def _view(self, pool: str, now: float) -> placement.PoolView:
+    def _refresh_view(self, pool: str, now: float) -> placement.PoolView:
         view = self._views.setdefault(pool, placement.PoolView([]))
         view.members = self.list_members(pool, now)
         return view
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -91,7 +91,7 @@
 
     :param book: The book.
     :param maintenance: The waves, whose VMs are not moved.
-    :param detector: Which workers and halls are silent.
+    :param detector: Detects silent workers and halls.
     """
 
     __slots__ = (
@@ -225,12 +225,12 @@
             size.rotating = 0
             if size.spread:
                 size.rotating = self._maintenance.count_rotating(name, now)
-            size.have = self._count_have(name, size)
+            size.have = self._count_serving(name, size)
             size.wanted = _count_wanted(size, now)
         for name in self.pools.keys() - self._book.configuration.pools.keys():
             del self.pools[name]
 
-    def _count_have(self, name: str, size: PoolSize) -> int:
+    def _count_serving(self, name: str, size: PoolSize) -> int:
         """Count the VMs that serve a pool, or soon will.
 
         VMs that a wave has closed take no work, so other VMs replace them.
@@ -244,11 +244,11 @@
             and vm.identity not in self.moving
             and vm.identity not in size.leaving
             and vm.identity not in maintained
-            and self._is_sound(vm)
+            and self._is_usable(vm)
         )
         return coming + working
 
-    def _is_sound(self, vm: fleet.Vm) -> bool:
+    def _is_usable(self, vm: fleet.Vm) -> bool:
         """Return whether a VM works, or is away for a moment only.
 
         A VM that is out of reach may stay so for long, so it is replaced.
--- a/src/rackvalve/scheduling/speeds.py
+++ b/src/rackvalve/scheduling/speeds.py
@@ -5,7 +5,7 @@
 much to tell a slow worker from a large task.
 
 With 2 of 30 VMs six times as slow for 7 s this gains 0.04 of the value of an
-emulated day (24 days); with one slow VM at a time it makes no difference.
+emulated day; with one slow VM at a time it makes no difference.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 # Number of durations of ended tasks kept for each step.
 KEPT_DURATIONS = 8
 
-# Repetition and step.
+# Numbers of a repetition and of a step.
 StepKey = tuple[int, int]
 
 
--- a/src/rackvalve/scheduling/starter.py
+++ b/src/rackvalve/scheduling/starter.py
@@ -34,8 +34,8 @@
         :param asked: How many are to start.
         """
         workspace = self._book.find_workspace(state)
-        ask = fleet.get_charge(step)
-        return self._book.usage.count_allowed(workspace, ask, asked)
+        charge = fleet.get_charge(step)
+        return self._book.usage.count_allowed(workspace, charge, asked)
 
     def find_tickets(
         self, state: progress.JobState, repetition: int, number: int
