--- a/features/steps/watch_steps.py
+++ b/features/steps/watch_steps.py
@@ -1,4 +1,4 @@
-"""Steps about watches that say nothing, or late."""
+"""Steps about watches that are answered late or not at all."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 KEY = "job/q/1/definition"
 
 
-class MutedStore:
-    """Answers all calls at once but those that wait for changes."""
+class SlowWatchStore:
+    """Store that answers all calls at once except watches."""
 
     def __init__(self, *, silence=0.0, late=0.0, refuses=False):
         self.refuses = refuses
@@ -24,14 +24,14 @@
         self.silence = silence
         self.late = late
         self.items = []
-        self.readings = 0
+        self.range_reads = 0
 
     @property
     def revision(self):
         return 10 + len(self.items)
 
     def read_range(self, prefix):
-        self.readings += 1
+        self.range_reads += 1
         return stores.Range(items=tuple(self.items), revision=self.revision)
 
     def watch(self, prefix, after, wait, *, slack):
@@ -50,37 +50,37 @@
 
 @behave.given("a store whose watches say nothing for {silence:g} seconds")
 def mute_watches(context, silence):
-    context.store = MutedStore(silence=silence)
+    context.store = SlowWatchStore(silence=silence)
 
 
 @behave.given("a store whose watches answer {late:g} seconds late")
 def delay_watches(context, late):
-    context.store = MutedStore(late=late)
+    context.store = SlowWatchStore(late=late)
 
 
 @behave.given("a store that refuses watches at once")
 def refuse_watches(context):
-    context.store = MutedStore(refuses=True)
+    context.store = SlowWatchStore(refuses=True)
 
 
-def follow(context):
+def start_watcher(context):
     context.seen = {}
-    context.told = []
+    context.reported = []
 
-    def take(items):
+    def record_items(items):
         for item in items:
             context.seen.setdefault(item.key, time.monotonic())
 
-    def take_changes(changes):
-        context.told.extend(item.key for item in changes.written)
-        take(changes.written)
+    def record_changes(changes):
+        context.reported.extend(item.key for item in changes.written)
+        record_items(changes.written)
 
     watcher = watchers.Watcher(
         context.store,
         PREFIX,
         pace=timing.OWNER_WATCH,
-        on_range=take,
-        on_changes=take_changes,
+        on_range=record_items,
+        on_changes=record_changes,
         on_contact=lambda: None,
     )
     assert watcher.read()
@@ -91,7 +91,7 @@
     "an owner follows its jobs and one is written after {delay:g} seconds"
 )
 def write_job(context, delay):
-    running = follow(context)
+    running = start_watcher(context)
     gevent.sleep(delay)
     store = context.store
     store.items.append(
@@ -105,22 +105,22 @@
 
 @behave.then("the owner has seen it before a watch has told of it")
 def check_seen(context):
-    speaks = context.store.began + context.store.silence
-    assert context.seen[KEY] < speaks, context.seen[KEY] - speaks
+    answers_from = context.store.began + context.store.silence
+    assert context.seen[KEY] < answers_from, context.seen[KEY] - answers_from
 
 
 @behave.then("no job is told twice as new")
 def check_told_once(context):
-    assert context.told.count(KEY) <= 1, context.told
+    assert context.reported.count(KEY) <= 1, context.reported
 
 
 @behave.when("an owner follows its jobs for {seconds:g} seconds")
 def follow_for(context, seconds):
-    running = follow(context)
+    running = start_watcher(context)
     gevent.sleep(seconds)
     running.kill()
 
 
 @behave.then("all items were read {count:d} times at the most")
 def check_readings(context, count):
-    assert context.store.readings <= count, context.store.readings
+    assert context.store.range_reads <= count, context.store.range_reads
--- a/src/rackvalve/manager/protocols.py
+++ b/src/rackvalve/manager/protocols.py
@@ -28,7 +28,7 @@
         :param reason: Why, for logs.
         """
 
-    def note_contact(self, now: float) -> None:
+    def note_confirmation(self, now: float) -> None:
         """Note that the store knew this process as the owner.
 
         :param now: When the call that told so was sent, in seconds.
@@ -36,12 +36,12 @@
 
 
 class SessionOwner(Protocol):
-    """One owner as its contacts with workers see it.
+    """One owner as its sessions with workers see it.
 
-    :ivar fences: The fencing tokens that it shows to workers.
+    :ivar tokens: The fencing tokens that it shows to workers.
     """
 
-    fences: fencing_tokens.FencingTokens
+    tokens: fencing_tokens.FencingTokens
 
     @property
     def committed_revision(self) -> int:
@@ -69,7 +69,7 @@
         :param reason: How that was learned.
         """
 
-    def take_report(
+    def apply_report(
         self, worker: workers.WorkerState, report: messages.Report, now: float
     ) -> None:
         """Apply a worker's report.
@@ -79,7 +79,7 @@
         :param now: Present time, in seconds.
         """
 
-    def take_start(
+    def apply_start_result(
         self,
         placed: workers.PlacedRun,
         result: messages.StartResult,
@@ -92,21 +92,23 @@
         :param uncertain: Whether an earlier try may still be carried out.
         """
 
-    def take_stop(self, worker: str, key: workers.RunKey) -> None:
+    def confirm_stop(self, worker: str, key: workers.RunKey) -> None:
         """Note that a worker has taken an order to stop a run.
 
         :param worker: Identity of the worker.
         :param key: Full name of the task and number of the run.
         """
 
-    def follow(self, worker: workers.WorkerState, born: int) -> None:
+    def switch_incarnation(
+        self, worker: workers.WorkerState, born: int
+    ) -> None:
         """Turn to the life that answers in place of an earlier one.
 
         :param worker: The earlier one.
         :param born: When the later one began, in milliseconds since 1970.
         """
 
-    def end_life(self, identity: str, reason: str) -> None:
+    def end_incarnation(self, identity: str, reason: str) -> None:
         """Forget a worker whose life is over.
 
         :param identity: The worker.
--- a/src/rackvalve/manager/watcher.py
+++ b/src/rackvalve/manager/watcher.py
@@ -37,7 +37,7 @@
         store: stores.Store,
         prefix: str,
         *,
-        pace: timing.WatchPace = timing.USUAL_WATCH,
+        pace: timing.WatchTiming = timing.DEFAULT_WATCH,
         on_range: Callable[[tuple[stores.Item, ...]], None],
         on_changes: Callable[[stores.Changes], None],
         on_contact: Callable[[], None],
@@ -102,7 +102,7 @@
             return
         if isinstance(changes, stores.Unavailable):
             # The store may only be slower than expected: allow it more time.
-            self._slack = min(2 * self._slack, self._pace.slack_most)
+            self._slack = min(2 * self._slack, self._pace.max_slack)
             taken = clocks.read_steady() - began
             self._timed_out = taken >= self._pace.wait
             self._log_failure("watch", changes.reason)
@@ -125,7 +125,7 @@
             )
         self._failing = True
         if not self._timed_out:
-            gevent.sleep(timing.STORE_PAUSE_S)
+            gevent.sleep(timing.STORE_RETRY_DELAY_S)
 
     def _record_success(self) -> None:
         if self._failing:
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -78,7 +78,7 @@
             lease=timing.WORKER_LEASE_S,
             settling=0.0,
             hold_wait=timing.HOLD_WAIT_S,
-            hold_most=timing.HOLD_MOST_S,
+            hold_most=timing.MAX_HOLD_S,
         )
         self.book.speeds = policy.speeds()
         self.planner = policy.planner(
@@ -262,7 +262,7 @@
                 self.at(self.now + ORDER_S, function)
             self._apply_closing()
             self._wake()
-        self.at(self.now + timing.CARE_INTERVAL_S, self._care)
+        self.at(self.now + timing.VM_CONTROL_INTERVAL_S, self._care)
 
     def _apply_closing(self) -> None:
         waves = self.maintenance.list_leaving()
