--- a/src/rackvalve/scheduling/crashes.py
+++ b/src/rackvalve/scheduling/crashes.py
@@ -8,7 +8,7 @@
 crashes on the workers of a harmless task.  It decides how the task is
 retried: at first apart from other suspects, then on a worker that accepts no
 other run meanwhile, and from the third crash on only where nothing else could
-cause the next crash.  A job fails by crashes that no other job can have
+cause the next crash.  A job fails only for crashes that no other job can have
 caused.
 """
 
--- a/src/rackvalve/scheduling/fencing_tokens.py
+++ b/src/rackvalve/scheduling/fencing_tokens.py
@@ -42,7 +42,7 @@
         """Raise the token of an incarnation that follows an earlier one.
 
         If nothing was committed since the last token, the token stays: no
-        start and no end was sent to the worker with it.
+        start was ordered and no end acknowledged with it.
 
         :param worker: The incarnation.
         :param committed: Revision of the owner's last commit.
--- a/src/rackvalve/scheduling/worker_restarts.py
+++ b/src/rackvalve/scheduling/worker_restarts.py
@@ -17,8 +17,8 @@
 from rackvalve.scheduling import workers
 
 
-# How long an incarnation that has not reported itself is taken to hold a
-# lease, in seconds: as long as the runs of the earlier one may continue.
+# How long an incarnation that has not reported yet is taken to hold a lease,
+# in seconds: as long as the runs of the earlier one may continue.
 UNREPORTED_LEASE_S = 4.0
 
 
