--- a/src/rackvalve/scheduling/crashes.py
+++ b/src/rackvalve/scheduling/crashes.py
@@ -56,8 +56,8 @@
 # maximum is always enough: VMs of long-running tasks crash now and then.
 MIN_CLEARING_S = 1.0
 MAX_CLEARING_S = 60.0
-# With this maximum instead (seconds) a run is settled: it is taken not to
-# cause a crash that follows the start of another task on its worker.
+# With this maximum in place of MAX_CLEARING_S (seconds) a run is settled: it
+# is taken not to cause a crash right after another task's start on its worker.
 MAX_SETTLING_S = 3.0
 
 
@@ -292,7 +292,7 @@
 
 
 def is_likely_cause(state: progress.JobState, task: progress.Task) -> bool:
-    """Return whether there is more evidence than presence at a crash.
+    """Return whether more points to a task than its presence at crashes.
 
     :param state: Its job.
     :param task: The task.
--- a/src/rackvalve/scheduling/isolation.py
+++ b/src/rackvalve/scheduling/isolation.py
@@ -311,7 +311,7 @@
     ) -> None:
         """Reserve the workers on which a group can start soonest.
 
-        :param previous: The workers reserved so far, and for which job.
+        :param previous: The workers reserved in the last plan, with the job.
         :param left: How many workers may still be reserved.
         """
         tickets = self._starter.find_tickets(
