--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -9,8 +9,8 @@
 
 from features import job_cores as cores
 from rackvalve import errors
-from rackvalve.manager import contact as contacts
-from rackvalve.manager import roster as rosters
+from rackvalve.manager import worker_registry as worker_registries
+from rackvalve.manager import worker_session as worker_sessions
 from rackvalve.platform import connections
 from rackvalve.platform import documents
 from rackvalve.platform import store as stores
@@ -23,7 +23,7 @@
     "machine": "m-1",
     "capacity": {"cpu": 4, "mem-mb": 4},
 }
-# What the steps take for the present time, in seconds.
+# Present time in these steps, in seconds.
 NOW = 100.0
 
 
@@ -45,7 +45,7 @@
 @behave.given("a worker with a good entry that has just answered")
 def make_worker(context):
     context.book = cores.make_cores(NOW, inherited_lease=5.0).book
-    context.roster = rosters.Roster(
+    context.registry = worker_registries.WorkerRegistry(
         mock.Mock(), context.book, on_change=lambda: None
     )
     write_entry(context)
@@ -58,8 +58,8 @@
     text = json.dumps(GOOD).encode() if payload is None else payload
     item = stores.Item(key=KEY, payload=text, revision=1, created=1)
     changes = stores.Changes(written=(item,), removed=(), revision=1)
-    with mock.patch.object(contacts.Contact, "start"):
-        context.roster.take_changes(changes)
+    with mock.patch.object(worker_sessions.WorkerSession, "start"):
+        context.registry.apply_changes(changes)
 
 
 @behave.when("its entry turns unreadable")
@@ -71,7 +71,7 @@
 def check_unused(context):
     worker = context.book.workers["w1"]
     assert not worker.takes_work(NOW, 0.9)
-    assert context.roster.contact("w1") is not None
+    assert context.registry.find_session("w1") is not None
 
 
 @behave.when("its entry is good again")
@@ -85,7 +85,7 @@
 
 
 @behave.when('"{host}" port {port:d} and "{other}" port {far:d} are called')
-def call_nowhere(context, host, port, other, far):
+def call_invalid_addresses(context, host, port, other, far):
     context.outcomes = [
         connections.HttpClient(*address).exchange("GET", "/", timeout=1.0)
         for address in ((host, port), (other, far))
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -1,4 +1,4 @@
-"""Steps about errors that nobody expects, and what they may cost."""
+"""Steps about unexpected errors and invalid data of other writers."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from rackvalve.jobs import definition
 from rackvalve.jobs import records
 from rackvalve.manager import admission
-from rackvalve.manager import caretaker as caretakers
-from rackvalve.manager import contact as contacts
 from rackvalve.manager import intake as intakes
-from rackvalve.manager import roster as rosters
 from rackvalve.manager import view as views
+from rackvalve.manager import vm_controller as vm_controllers
+from rackvalve.manager import worker_registry as worker_registries
+from rackvalve.manager import worker_session as worker_sessions
 from rackvalve.platform import advisers
 from rackvalve.platform import connections
 from rackvalve.platform import machines
@@ -57,8 +57,8 @@
     return stores.Item(key=key, payload=payload, revision=1, created=1)
 
 
-def make_caretaker(book):
-    return caretakers.Caretaker(
+def make_controller(book):
+    return vm_controllers.VmController(
         mock.Mock(),
         views.View(),
         book,
@@ -87,7 +87,7 @@
                     failed.append((row["payload"], "it is taken"))
                     continue
             else:
-                make_caretaker(bench.book).load((item,))
+                make_controller(bench.book).load((item,))
             _decide(bench)
         except Exception as error:
             failed.append((row["key"], repr(error)))
@@ -95,7 +95,7 @@
 
 
 def _decide(bench):
-    """Let all that decides look at the book once."""
+    """Run each decision of an owner on the book once."""
     care = maintenance.MaintenancePlanner(bench.book)
     silent = failure_detector.FailureDetector(bench.book, care)
     sizes = sizing.Sizer(bench.book, care, silent)
@@ -111,15 +111,15 @@
         records.write_progress(state)
 
 
-class Hearer:
-    """An owner that handles what a contact tells it."""
+class BenchOwner:
+    """An owner that applies what a session reports to a bench."""
 
     durable = 0
     committed_revision = 0
 
     def __init__(self, bench):
         self.bench = bench
-        self.fences = fencing_tokens.FencingTokens(7)
+        self.tokens = fencing_tokens.FencingTokens(7)
         self.deposed = ""
 
     def may_extend(self, now):
@@ -131,15 +131,15 @@
     def depose(self, reason):
         self.deposed = reason
 
-    def end_life(self, identity, reason):
+    def end_incarnation(self, identity, reason):
         self.bench.end_life(identity, reason)
 
-    def follow(self, worker, born):
+    def switch_incarnation(self, worker, born):
         worker_restarts.note_replaced(
             self.bench.book, worker, born, self.bench.now
         )
 
-    def take_report(self, worker, report, now):
+    def apply_report(self, worker, report, now):
         self.bench.handler.apply(worker, report, now=now, wall=now)
 
 
@@ -160,13 +160,15 @@
     told = {"clock-ms": 482113, "born": 1771263913116}
     answer(rng, {**told, "running": rows[1:], "ended": ended})
     client = clients.Worker("127.0.0.1", 1, "w1", timeout=TIMEOUT_S)
-    contact = contacts.Contact(Hearer(bench), bench.book.workers["w1"], client)
+    session = worker_sessions.WorkerSession(
+        BenchOwner(bench), bench.book.workers["w1"], client
+    )
     for _ in range(2):
-        outcome = contact._hold()
+        outcome = session._hold()
         if isinstance(outcome, clients.Report):
-            contact._take_report(outcome)
+            session._apply_report(outcome)
         else:
-            contact._take_outcome(outcome)
+            session._handle_outcome(outcome)
     _decide(bench)
 
 
@@ -222,9 +224,11 @@
             "born": 1771263913116,
         },
     )
-    roster = rosters.Roster(Hearer(bench), bench.book, on_change=lambda: None)
-    with mock.patch.object(rosters.contacts, "Contact"):
-        roster.take_range((make_item("servers/w9", payload),))
+    registry = worker_registries.WorkerRegistry(
+        BenchOwner(bench), bench.book, on_change=lambda: None
+    )
+    with mock.patch.object(worker_registries.worker_sessions, "WorkerSession"):
+        registry.apply_range((make_item("servers/w9", payload),))
     _decide(bench)
 
 
@@ -283,8 +287,8 @@
 def make_odd_clock(context):
     bench = _make_bench(["w1"])
     client = clients.Worker("127.0.0.1", 1, "w1", timeout=TIMEOUT_S)
-    context.contact = contacts.Contact(
-        Hearer(bench), bench.book.workers["w1"], client
+    context.session = worker_sessions.WorkerSession(
+        BenchOwner(bench), bench.book.workers["w1"], client
     )
     context.clocks = ["1e308", "482113", "482114"]
 
@@ -297,9 +301,9 @@
         return connections.Answer(status=200, body=body.encode())
 
     with mock.patch.object(connections.HttpClient, "exchange", exchange):
-        outcomes = [context.contact._hold() for _ in range(2)]
-        context.contact._take_report(outcomes[1])
-        until = context.contact._lease_until()
+        outcomes = [context.session._hold() for _ in range(2)]
+        context.session._apply_report(outcomes[1])
+        until = context.session._grant_lease()
     kinds = [type(outcome) for outcome in outcomes]
     assert kinds == [connections.NoAnswer, clients.Report], outcomes
     assert until is not None and until < 1e6, until
@@ -316,7 +320,8 @@
             made.append(odd_answers.vary(rng, document))
 
         def exchange(self, *words, made=made, **fields):
-            # A list that never ends would be read for ever.
+            # Only the first page is odd: an endless list would be read for
+            # ever.
             body = made.pop(0) if made and "/hold" not in words else b""
             if "/hold" in words:
                 body = made[0]
--- a/src/rackvalve/manager/counts.py
+++ b/src/rackvalve/manager/counts.py
@@ -112,7 +112,7 @@
         turn = self._locks.setdefault(queue, lock.BoundedSemaphore())
         with turn:
             cached = self._cache.get(queue)
-            if cached is None or now - cached.at > timing.COUNT_KEPT_S:
+            if cached is None or now - cached.at > timing.COUNT_CACHE_S:
                 began = clocks.read_steady()
                 waiting = self._read_waiting(queue)
                 if isinstance(waiting, stores.Unavailable):
@@ -152,7 +152,7 @@
     A count from the future was dated by a clock that differs from this VM's.
     """
     age = wall - record.counted
-    return -timing.COUNT_AHEAD_MOST_S <= age <= timing.COUNT_AGE_MOST_S
+    return -timing.MAX_CLOCK_SKEW_S <= age <= timing.MAX_COUNT_AGE_S
 
 
 def _list_jobs(
--- a/src/rackvalve/manager/writer.py
+++ b/src/rackvalve/manager/writer.py
@@ -167,7 +167,7 @@
             self._log_failure(commit, outcome)
             # A commit that timed out is retried at once.
             taken = clocks.read_steady() - began
-            gevent.sleep(max(0.0, timing.STORE_PAUSE_S - taken))
+            gevent.sleep(max(0.0, timing.STORE_RETRY_DELAY_S - taken))
 
     def _attempt(self, commit: commits.Commit, attempts: int) -> Outcome:
         sent = clocks.read_steady()
@@ -202,4 +202,4 @@
     """
     factor = 2 ** min(attempts, _MAX_DOUBLINGS)
     timeout: float = timing.COMMIT_TIMEOUT_S * factor
-    return min(timeout, timing.COMMIT_TIMEOUT_MOST_S)
+    return min(timeout, timing.MAX_COMMIT_TIMEOUT_S)
