--- a/src/rackvalve/scheduling/fencing_tokens.py
+++ b/src/rackvalve/scheduling/fencing_tokens.py
@@ -42,12 +42,12 @@
         """Raise the token of an incarnation that follows an earlier one.
 
         If nothing was committed since the last token, the token stays: no
-        start and no end was sent to the worker with it.
+        start was ordered and no end acknowledged with it.
 
         :param worker: The incarnation.
         :param committed: Revision of the owner's last commit.
         """
-        name = worker.life.worker
+        name = worker.incarnation.worker
         greatest = max(self._greatest.get(name, self._fence), committed)
         self._greatest[name] = greatest
         self._tokens[worker.identity] = greatest
@@ -59,7 +59,7 @@
         :return: Whether the token is greater now; if not, another owner has
             sent a greater one.
         """
-        greatest = self._greatest.get(worker.life.worker, self._fence)
+        greatest = self._greatest.get(worker.incarnation.worker, self._fence)
         if greatest <= self.find(worker):
             return False
         self._tokens[worker.identity] = greatest
