--- a/src/rackvalve/manager/revalidation.py
+++ b/src/rackvalve/manager/revalidation.py
@@ -51,7 +51,7 @@
                 or self._view.silence(now) > timing.MAX_STORE_SILENCE_S
             ):
                 return False
-            pause = self._compared + timing.COMPARISON_SPACING_S - now
+            pause = self._compared + timing.REVALIDATION_SPACING_S - now
             if self._comparison is not None:
                 self._comparison.wait(left)
             elif pause > 0:
--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -194,7 +194,7 @@
 # times a second and 33 managers 660 times, where the store takes 1,200 write
 # and 6,000 read calls.  A caller whose key was just added waits at most this
 # much longer.
-COMPARISON_SPACING_S = 0.05
+REVALIDATION_SPACING_S = 0.05
 
 # -- failures --------------------------------------------------------------
 # Delay before a task of the process is restarted after an unexpected error: an
