--- a/features/job_history.py
+++ b/features/job_history.py
@@ -165,7 +165,7 @@
         job = definition.Job(spec=spec, steps=tuple(steps))
         self.world.jobs[identity] = job
         workspace = owners.WORKSPACE if self.rules.bound else ""
-        self.store.definitions[identity] = records.write_definition(
+        self.store.definitions[identity] = records.encode_definition(
             job, self.world.now, workspace
         )
 
--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -79,10 +79,10 @@
         now = self.world.now
         for identity, payload in self.store.definitions.items():
             if identity not in self.book.jobs:
-                state = records.read_definition("queue", identity, payload)
+                state = records.decode_definition("queue", identity, payload)
                 stored = self.store.progress.get(identity)
                 if stored is not None:
-                    records.read_progress(state, stored, now)
+                    records.decode_progress(state, stored, now)
                 self.book.add_job(state, now, now)
         for identity in self.store.cancels:
             self.book.cancel_job(identity, now)
@@ -138,7 +138,7 @@
         for identity in list(self.book.changed):
             state = self.book.jobs[identity]
             planned = state.list_planned()
-            self.store.progress[identity] = records.write_progress(state)
+            self.store.progress[identity] = records.encode_progress(state)
             if state.phase is progress.Phase.RUNNING:
                 self.world.check_begun(identity)
             if state.phase is progress.Phase.COMPLETED:
--- a/features/steps/count_age_steps.py
+++ b/features/steps/count_age_steps.py
@@ -92,18 +92,18 @@
 
 
 def write_key(number, part):
-    return records.write_key(QUEUE, f"{number:016x}", part)
+    return records.format_key(QUEUE, f"{number:016x}", part)
 
 
 def add_job(context, number, phase):
     """Put the records of a job into the store."""
     key = write_key(number, records.Part.DEFINITION)
-    context.store.put(key, records.write_definition(JOB, time.time()))
+    context.store.put(key, records.encode_definition(JOB, time.time()))
     if phase is not None:
         state = progress.JobState(f"{number:016x}", QUEUE, JOB, 0.0)
         state.phase = phase
         key = write_key(number, records.Part.PROGRESS)
-        context.store.put(key, records.write_progress(state))
+        context.store.put(key, records.encode_progress(state))
 
 
 def publish(context, number, age, view_age=0.0):
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -156,12 +156,12 @@
 
 def hand_over(bench, state):
     """Replace the owner by a new one that reads a job's record."""
-    payload = records.write_progress(state)
+    payload = records.encode_progress(state)
     made = cores.make_cores(bench.now, inherited_lease=5.0)
     bench.book, bench.handler = made.book, made.handler
     bench.planner = made.planner
     read = progress.JobState(state.identity, "queue", state.job, 0.0)
-    records.read_progress(read, payload, bench.now)
+    records.decode_progress(read, payload, bench.now)
     bench.book.add_job(read, bench.now, bench.now)
     for name in list(bench.numbers):
         add_worker(bench, name)
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -108,7 +108,7 @@
     sizes.decide(bench.now)
     bench.plan()
     for state in bench.book.jobs.values():
-        records.write_progress(state)
+        records.encode_progress(state)
 
 
 class BenchOwner:
--- a/features/steps/job_steps.py
+++ b/features/steps/job_steps.py
@@ -167,11 +167,11 @@
 @behave.when("a new owner finds a recorded run that its worker does not list")
 def take_over(context):
     (order,) = context.bench.start_all()
-    payload = records.write_progress(context.state)
-    defined = records.write_definition(context.state.job, 1000.0)
+    payload = records.encode_progress(context.state)
+    defined = records.encode_definition(context.state.job, 1000.0)
     context.bench = benches.Bench([])
-    state = records.read_definition("queue", benches.IDENTITY, defined)
-    records.read_progress(state, payload, context.bench.now)
+    state = records.decode_definition("queue", benches.IDENTITY, defined)
+    records.decode_progress(state, payload, context.bench.now)
     context.bench.book.add_job(state, 1000.0, 1000.0)
     assert not state.waiting, "may still run"
     context.before = order.run
@@ -477,15 +477,15 @@
 @behave.then("its records read back tell the same")
 def check_round_trip(context):
     state = context.state
-    payload = records.write_progress(state)
-    defined = records.write_definition(state.job, state.accepted)
-    copy = records.read_definition("queue", benches.IDENTITY, defined)
-    records.read_progress(copy, payload, 0.0)
+    payload = records.encode_progress(state)
+    defined = records.encode_definition(state.job, state.accepted)
+    copy = records.decode_definition("queue", benches.IDENTITY, defined)
+    records.decode_progress(copy, payload, 0.0)
     assert copy.job == state.job
-    assert records.write_progress(copy) == payload
+    assert records.encode_progress(copy) == payload
     assert copy.next_run == state.next_run
-    assert records.read_summary(payload).phase is state.phase
-    key = records.write_key("queue", benches.IDENTITY, records.Part.PROGRESS)
-    assert records.read_key(key) == records.Key(
+    assert records.decode_summary(payload).phase is state.phase
+    key = records.format_key("queue", benches.IDENTITY, records.Part.PROGRESS)
+    assert records.parse_key(key) == records.Key(
         queue="queue", identity=benches.IDENTITY, part=records.Part.PROGRESS
     )
--- a/features/steps/key_steps.py
+++ b/features/steps/key_steps.py
@@ -25,8 +25,8 @@
     "north": ["key-of-north", "second-key-of-north"],
     "south": ["key-of-south"],
 }
-DEFINITION_KEY = records.write_key("closed", JOB, records.Part.DEFINITION)
-PROGRESS_KEY = records.write_key("closed", JOB, records.Part.PROGRESS)
+DEFINITION_KEY = records.format_key("closed", JOB, records.Part.DEFINITION)
+PROGRESS_KEY = records.format_key("closed", JOB, records.Part.PROGRESS)
 
 
 def make_item(version, keys=KEYS, **fields):
@@ -66,7 +66,7 @@
     def __init__(self, item):
         self.configuration = item
         self.items = {
-            DEFINITION_KEY: records.write_definition(make_job(), 1.0, "north")
+            DEFINITION_KEY: records.encode_definition(make_job(), 1.0, "north")
         }
         self.silent = False
         self.comparisons = 0
@@ -139,7 +139,7 @@
             JOB, "closed", make_job(), 1.0, workspace="north"
         )
         state.phase = progress.Phase.RUNNING
-        context.store.items[PROGRESS_KEY] = records.write_progress(state)
+        context.store.items[PROGRESS_KEY] = records.encode_progress(state)
 
 
 @behave.given("a configuration in the store whose bounds are no numbers")
@@ -247,31 +247,31 @@
 
 @behave.when("a job of north is recorded and read again")
 def record_job(context):
-    payload = records.write_definition(make_job(), 1.0, "north")
-    context.state = records.read_definition("closed", JOB, payload)
-    context.written = records.write_progress(context.state)
+    payload = records.encode_definition(make_job(), 1.0, "north")
+    context.state = records.decode_definition("closed", JOB, payload)
+    context.written = records.encode_progress(context.state)
     context.definition = payload
 
 
 @behave.then("it belongs to north, also by its progress alone")
 def check_kept(context):
     assert context.state.workspace == "north"
-    assert records.read_workspace(context.definition) == "north"
-    assert records.read_summary(context.written).workspace == "north"
+    assert records.parse_workspace(context.definition) == "north"
+    assert records.decode_summary(context.written).workspace == "north"
 
 
 @behave.when("the record of an older release is read")
 def read_older(context):
     payload = msgspec.json.encode({"accepted": 1.0, "job": make_job()})
-    context.state = records.read_definition("closed", JOB, payload)
-    context.written = records.write_progress(context.state)
+    context.state = records.decode_definition("closed", JOB, payload)
+    context.written = records.encode_progress(context.state)
 
 
 @behave.then("it belongs to no workspace and its next record can be read")
 def check_older(context):
     assert context.state.workspace == ""
-    records.read_progress(context.state, context.written, 1.0)
-    summary = records.read_summary(b'{"phase":"queued"}')
+    records.decode_progress(context.state, context.written, 1.0)
+    summary = records.decode_summary(b'{"phase":"queued"}')
     assert summary.workspace == ""
 
 
--- a/features/steps/late_end_steps.py
+++ b/features/steps/late_end_steps.py
@@ -36,7 +36,7 @@
 @behave.given("the next owner has read its record")
 def change_owner(context):
     bench, old = context.bench, context.state
-    payload = records.write_progress(old)
+    payload = records.encode_progress(old)
     made = cores.make_cores(bench.now, inherited_lease=5.0)
     bench.book, bench.handler = made.book, made.handler
     bench.planner = made.planner
@@ -44,7 +44,7 @@
         worker = models.FakeWorker(models.World(), name, models.Rules(), 1.0)
         bench.book.set_entry(worker.entry())
     state = progress.JobState(old.identity, "queue", old.job, 0.0)
-    records.read_progress(state, payload, bench.now)
+    records.decode_progress(state, payload, bench.now)
     bench.book.add_job(state, bench.now, bench.now)
     context.state = state
 
--- a/features/steps/proof_steps.py
+++ b/features/steps/proof_steps.py
@@ -81,12 +81,12 @@
 
 @behave.when("its record is written by {writer} and read by a new owner")
 def hand_over(context, writer):
-    stored = json.loads(records.write_progress(context.state))
+    stored = json.loads(records.encode_progress(context.state))
     if writer == "the release before":
         del stored["locations"]
     job = context.state.job
     read = progress.JobState(context.state.identity, "queue", job, 0.0)
-    records.read_progress(read, json.dumps(stored).encode(), 2000.0)
+    records.decode_progress(read, json.dumps(stored).encode(), 2000.0)
     book = cores.make_cores(2000.0, inherited_lease=5.0).book
     book.add_job(read, 2000.0, 2000.0)
     context.worker = book.workers["w1"]
--- a/features/steps/removal_steps.py
+++ b/features/steps/removal_steps.py
@@ -67,11 +67,11 @@
         task.done = True
     state.finish_if_done(1.0)
     payloads = {
-        records.Part.DEFINITION: records.write_definition(job, 1.0),
-        records.Part.PROGRESS: records.write_progress(state),
+        records.Part.DEFINITION: records.encode_definition(job, 1.0),
+        records.Part.PROGRESS: records.encode_progress(state),
     }
     context.items = {
-        records.write_key("queue", IDENTITY, part): payload
+        records.format_key("queue", IDENTITY, part): payload
         for part, payload in payloads.items()
     }
     context.writer = FakeWriter(context.items)
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -404,13 +404,13 @@
 
 @behave.when("its record is written and read")
 def write_and_read(context):
-    context.record = records.write_progress(context.state)
+    context.record = records.encode_progress(context.state)
 
 
 def read_workers(payload):
     """Return the workers' identities in a record, by number of the run."""
     state = make_state()
-    records.read_progress(state, payload, 0.0)
+    records.decode_progress(state, payload, 0.0)
     (task,) = state.tasks.values()
     assert all(run.location is not None for run in task.runs.values())
     return {number: run.worker for number, run in task.runs.items()}
--- a/src/rackvalve/jobs/records.py
+++ b/src/rackvalve/jobs/records.py
@@ -135,7 +135,7 @@
     workspace: str = ""
 
 
-def write_key(queue: str, identity: str, part: Part) -> str:
+def format_key(queue: str, identity: str, part: Part) -> str:
     """Return the key of a record.
 
     :param queue: Name of the job's queue.
@@ -146,7 +146,7 @@
     return f"{prefix}{queue}/{identity}/{part.value}"
 
 
-def read_key(key: str) -> Key | None:
+def parse_key(key: str) -> Key | None:
     """Parse a record's key.
 
     :param key: The key.
@@ -162,7 +162,7 @@
     return Key(queue=parts[1], identity=parts[2], part=part)
 
 
-def write_definition(
+def encode_definition(
     job: definition.Job, accepted: float, workspace: str = ""
 ) -> bytes:
     """Encode a job's definition.
@@ -176,7 +176,7 @@
     )
 
 
-def read_definition(
+def decode_definition(
     queue: str, identity: str, payload: bytes
 ) -> progress.JobState:
     """Decode a job's definition, into a job that has not begun.
@@ -198,7 +198,7 @@
     )
 
 
-def write_progress(state: progress.JobState) -> bytes:
+def encode_progress(state: progress.JobState) -> bytes:
     """Encode a job's progress.
 
     :param state: The job.
@@ -238,14 +238,14 @@
             finished=state.finished,
             reason=state.reason,
             tasks=tasks,
-            locations=_write_locations(state),
+            locations=_encode_locations(state),
             workspace=state.workspace,
-            suspects=_write_suspects(state),
+            suspects=_encode_suspects(state),
         )
     )
 
 
-def read_progress(
+def decode_progress(
     state: progress.JobState, payload: bytes, now: float
 ) -> None:
     """Decode a job's progress into a job that was just decoded.
@@ -277,7 +277,7 @@
             state.suspects.add(task.name)
             # How long the task has waited for isolation is not stored.
             task.not_before = now
-            _read_suspect(task, record.suspects.get(row.name))
+            _decode_suspect(task, record.suspects.get(row.name))
         births = itertools.chain(row.births, itertools.repeat(0))
         for (number, worker), born in zip(row.runs, births, strict=False):
             incarnation = incarnations.Incarnation(
@@ -288,14 +288,14 @@
                 incarnation.identity,
                 progress.Stage.ORDERED,
                 now,
-                location=_read_location(record.locations.get(worker)),
+                location=_decode_location(record.locations.get(worker)),
             )
             run.inherited = True
             run.pace = None
             task.runs[number] = run
 
 
-def _write_suspects(state: progress.JobState) -> dict[str, _Suspect]:
+def _encode_suspects(state: progress.JobState) -> dict[str, _Suspect]:
     """Return the details of crashes that count against tasks."""
     return {
         str(task.name): _Suspect(
@@ -311,7 +311,7 @@
     }
 
 
-def _read_suspect(task: progress.Task, wire: _Suspect | None) -> None:
+def _decode_suspect(task: progress.Task, wire: _Suspect | None) -> None:
     """Decode the details of crashes; earlier releases store none."""
     if wire is None:
         return
@@ -323,7 +323,7 @@
     task.settled_beside.update(wire.settled_beside)
 
 
-def _write_locations(state: progress.JobState) -> dict[str, _Location]:
+def _encode_locations(state: progress.JobState) -> dict[str, _Location]:
     """Return the addresses of the workers of a job's runs."""
     return {
         incarnations.parse_incarnation(run.worker).worker: _Location(
@@ -337,14 +337,14 @@
     }
 
 
-def _read_location(wire: _Location | None) -> progress.Location | None:
+def _decode_location(wire: _Location | None) -> progress.Location | None:
     """Decode the address of a worker; earlier releases store none."""
     if wire is None:
         return None
     return progress.Location(host=wire.host, port=wire.port, vm=wire.vm)
 
 
-def read_summary(payload: bytes) -> Summary:
+def decode_summary(payload: bytes) -> Summary:
     """Decode only what callers may see of a progress record.
 
     :param payload: The progress record.
@@ -354,7 +354,7 @@
     return Summary(phase=record.phase, workspace=record.workspace)
 
 
-def read_workspace(payload: bytes) -> str:
+def parse_workspace(payload: bytes) -> str:
     """Decode only the workspace of a job.
 
     :param payload: The definition's record.
--- a/src/rackvalve/manager/counts.py
+++ b/src/rackvalve/manager/counts.py
@@ -159,7 +159,7 @@
     items: tuple[stores.Item, ...] | list[stores.Item], part: records.Part
 ) -> set[str]:
     """Return the identifiers of the jobs that have a record of this part."""
-    keys = [records.read_key(item.key) for item in items]
+    keys = [records.parse_key(item.key) for item in items]
     return {
         key.identity for key in keys if key is not None and key.part is part
     }
@@ -168,7 +168,7 @@
 def _has_begun(item: stores.Item) -> bool:
     """Return whether a progress record belongs to a job that has begun."""
     try:
-        phase = records.read_summary(item.payload).phase
+        phase = records.decode_summary(item.payload).phase
     except errors.DocumentInvalidError:
         return False
     return phase is not progress.Phase.QUEUED
--- a/src/rackvalve/manager/intake.py
+++ b/src/rackvalve/manager/intake.py
@@ -86,9 +86,9 @@
         defined = parts[records.Part.DEFINITION]
         stored = parts.get(records.Part.PROGRESS)
         try:
-            state = records.read_definition(queue, identity, defined.payload)
+            state = records.decode_definition(queue, identity, defined.payload)
             if stored is not None:
-                records.read_progress(state, stored.payload, now)
+                records.decode_progress(state, stored.payload, now)
         except errors.DocumentInvalidError as error:
             logs.write_warning(
                 "document.rejected", key=defined.key, reason=error.reason
@@ -127,7 +127,7 @@
     """Return the newest records by queue and identifier of their job."""
     by_job: dict[tuple[str, str], Parts] = {}
     for item in items:
-        key = records.read_key(item.key)
+        key = records.parse_key(item.key)
         if key is not None:
             parts = by_job.setdefault((key.queue, key.identity), {})
             parts[key.part] = item
--- a/src/rackvalve/manager/job_api.py
+++ b/src/rackvalve/manager/job_api.py
@@ -309,10 +309,10 @@
         return self._store_job(request, job)
 
     def _store_job(self, request: Request, job: definition.Job) -> Reply:
-        key = records.write_key(
+        key = records.format_key(
             request.queue.name, request.identity, records.Part.DEFINITION
         )
-        payload = records.write_definition(
+        payload = records.encode_definition(
             job, clocks.read_wall(), request.workspace
         )
         uncertain = False
@@ -328,7 +328,7 @@
                 found = outcome.items.get(key)
                 if found is None:
                     continue
-                if not request.may_see(records.read_workspace(found.payload)):
+                if not request.may_see(records.parse_workspace(found.payload)):
                     return _forbid()
                 return self._confirm_accepted(request, found.revision)
             if isinstance(outcome, stores.Unknown):
@@ -368,14 +368,14 @@
         """Read a job's phase; return an error reply if that fails."""
         found = self._read(request, records.Part.PROGRESS)
         if isinstance(found, stores.Item):
-            summary = records.read_summary(found.payload)
+            summary = records.decode_summary(found.payload)
             if not request.may_see(summary.workspace):
                 return _forbid()
             return summary.phase
         if isinstance(found, stores.Missing):
             found = self._read(request, records.Part.DEFINITION)
         if isinstance(found, stores.Item):
-            if not request.may_see(records.read_workspace(found.payload)):
+            if not request.may_see(records.parse_workspace(found.payload)):
                 return _forbid()
             return progress.Phase.QUEUED
         if isinstance(found, stores.Missing):
@@ -385,7 +385,7 @@
     def _read(
         self, request: Request, part: records.Part
     ) -> stores.Item | stores.Missing | stores.Unavailable:
-        key = records.write_key(request.queue.name, request.identity, part)
+        key = records.format_key(request.queue.name, request.identity, part)
         while True:
             found = self._store.read(key)
             if not isinstance(found, stores.Unavailable):
@@ -403,7 +403,7 @@
         return self._record_cancel(request)
 
     def _record_cancel(self, request: Request) -> Reply:
-        key = records.write_key(
+        key = records.format_key(
             request.queue.name, request.identity, records.Part.CANCEL
         )
         reason = ""
--- a/src/rackvalve/manager/recorder.py
+++ b/src/rackvalve/manager/recorder.py
@@ -61,7 +61,7 @@
             state = self._book.jobs.get(identity)
             if state is not None:
                 self._writer.enqueue(
-                    records.write_key(
+                    records.format_key(
                         state.queue, identity, records.Part.PROGRESS
                     ),
                     functools.partial(self._make_record, state),
@@ -150,14 +150,14 @@
     ) -> None:
         record = backlogs.Record(payload=None, written=written)
         self._writer.enqueue(
-            records.write_key(state.queue, state.identity, part),
+            records.format_key(state.queue, state.identity, part),
             lambda: record,
         )
 
     def _make_record(self, state: progress.JobState) -> backlogs.Record:
         planned = state.list_planned()
         return backlogs.Record(
-            payload=records.write_progress(state),
+            payload=records.encode_progress(state),
             written=functools.partial(
                 self._handle_written, state, planned, state.phase
             ),
