--- a/features/steps/late_start_steps.py
+++ b/features/steps/late_start_steps.py
@@ -182,7 +182,7 @@
     assert session.sent == [context.order], session.sent
 
 
-@behave.then("no such order is kept for a worker whose life is over")
+@behave.then("no such order is kept for a worker whose incarnation is over")
 def check_dropped(context):
     context.registry.end_incarnation(RUNNING_ON, "another life answers")
     context.bench.book.orders.clear()
