--- a/src/rackvalve/platform/connections.py
+++ b/src/rackvalve/platform/connections.py
@@ -114,7 +114,7 @@
         self._idle.append(connection)
         return True
 
-    def distrust(self) -> None:
+    def discard_idle(self) -> None:
         """Use no connection again that is idle now.
 
         For a caller that was given an answer to another call.
--- a/src/rackvalve/platform/store.py
+++ b/src/rackvalve/platform/store.py
@@ -290,7 +290,7 @@
             return Unavailable(reason=f"status {raw.status}")
         answer = _decode(raw.body, _store_wire.WireEvents)
         if isinstance(answer, Unavailable):
-            client.distrust()
+            client.discard_idle()
             return answer
         # A late answer may tell again what was told before.
         events = [event for event in answer.events if event.rev > after]
@@ -358,7 +358,7 @@
             return Unknown(reason=f"status {raw.status}")
         outcome = self._read_commit(raw, least)
         if isinstance(outcome, Unknown):
-            self._client.distrust()
+            self._client.discard_idle()
         return outcome
 
     def _read_commit(
--- a/src/rackvalve/platform/workers.py
+++ b/src/rackvalve/platform/workers.py
@@ -311,11 +311,11 @@
         try:
             report = reports.read_report(raw.body)
             if self._is_others(report, raw):
-                client.distrust()
+                client.discard_idle()
                 return OtherLife(born=report.born, clock=report.clock)
             _check_clock(report.clock, raw, least)
         except _UNREADABLE as error:
-            client.distrust()
+            client.discard_idle()
             return connections.NoAnswer(reason=repr(error), sent=True)
         if client is self._holds:
             self._reported = report.clock
@@ -339,7 +339,7 @@
             return outcome
         # Believed, an earlier order's refusal would let a task start
         # elsewhere while it runs here.  An order may come twice.
-        self._orders.distrust()
+        self._orders.discard_idle()
         outcome = self._try_order(path, order, least, is_last=True)
         assert outcome is not None
         return outcome
@@ -452,7 +452,7 @@
         clock = wire.clock / 1000
         _check_clock(clock, raw, least)
     except _UNREADABLE as error:
-        client.distrust()
+        client.discard_idle()
         return connections.NoAnswer(reason=repr(error), sent=True)
     if raw.status == STATUS_OK:
         return Done(clock=clock)
