--- a/src/rackvalve/platform/advisers.py
+++ b/src/rackvalve/platform/advisers.py
@@ -73,7 +73,7 @@
         }
         body = msgspec.json.encode({"step": step, "workers": list(asked)})
         raw = self._client.exchange(
-            "POST", "/advise", body, timeout=timeout, alone=True
+            "POST", "/advise", body, timeout=timeout, single_use=True
         )
         if isinstance(raw, connections.NoAnswer):
             return Unavailable(reason=raw.reason)
--- a/src/rackvalve/platform/connections.py
+++ b/src/rackvalve/platform/connections.py
@@ -135,7 +135,7 @@
         headers: tuple[tuple[str, str], ...] = (),
         timeout: float,
         body_timeout: float = 0.0,
-        alone: bool = False,
+        single_use: bool = False,
     ) -> Answer | NoAnswer:
         """Make one call and wait for its whole answer.
 
@@ -147,7 +147,7 @@
             seconds.
         :param body_timeout: Longest wait for the rest of it, in seconds: a
             large answer takes long on a narrow link.
-        :param alone: Whether to use a connection for this call alone.
+        :param single_use: Whether to use a connection for this call alone.
         :return: The answer, or why there is none.
         """
         request = self._encode(method, path, body, headers)
@@ -155,7 +155,9 @@
         limit = gevent.Timeout(timeout)
         limit.start()
         try:
-            connection = self._open() if alone else self._take_connection()
+            connection = (
+                self._open() if single_use else self._take_connection()
+            )
             sock = connection.sock
             sock.sendall(request)
             response = _answers.Response(method)
@@ -191,7 +193,7 @@
         finally:
             limit.close()
         first = connection.idle_since is None
-        if alone or response.should_close():
+        if single_use or response.should_close():
             _end(connection)
         else:
             self._keep(connection)
--- a/src/rackvalve/platform/machines.py
+++ b/src/rackvalve/platform/machines.py
@@ -99,7 +99,7 @@
         path = "/machines"
         while True:
             raw = self._client.exchange(
-                "GET", path, timeout=self._timeout, alone=True
+                "GET", path, timeout=self._timeout, single_use=True
             )
             page = _read_page(raw)
             if isinstance(page, Unavailable):
@@ -152,7 +152,7 @@
                 ("Fencing-Token", str(fence)),
             ),
             timeout=self._timeout,
-            alone=True,
+            single_use=True,
         )
         if isinstance(raw, connections.NoAnswer):
             return Unavailable(reason=raw.reason)
--- a/src/rackvalve/platform/store.py
+++ b/src/rackvalve/platform/store.py
@@ -226,7 +226,7 @@
         :param key: The key.
         """
         path = "/kv-key?key=" + _quote(key)
-        answer = self._call("GET", path, alone=True)
+        answer = self._call("GET", path, single_use=True)
         if isinstance(answer, Unavailable):
             return answer
         if answer.status == STATUS_MISSING:
@@ -246,7 +246,7 @@
         query = "/kv-range?path-prefix=" + _quote(prefix)
         path = query
         while True:
-            answer = self._call("GET", path, alone=True)
+            answer = self._call("GET", path, single_use=True)
             if isinstance(answer, Unavailable):
                 return answer
             page = _decode(answer.body, _store_wire.WirePage)
@@ -392,7 +392,7 @@
         :param duration: Wanted length, in seconds.
         """
         body = msgspec.json.encode({"ttl_ms": int(duration * 1000)})
-        answer = self._call("POST", "/kv-lease", body, alone=True)
+        answer = self._call("POST", "/kv-lease", body, single_use=True)
         if isinstance(answer, Unavailable):
             return answer
         lease = _decode(answer.body, _store_wire.WireLease)
@@ -409,7 +409,7 @@
         :return: Whether it still runs.
         """
         answer = self._call(
-            "POST", f"/kv-keep/{identity}", timeout=timeout, alone=True
+            "POST", f"/kv-keep/{identity}", timeout=timeout, single_use=True
         )
         if isinstance(answer, Unavailable):
             return answer
@@ -421,7 +421,9 @@
         :param identity: Its number.
         :return: Whether it ran until now.
         """
-        answer = self._call("DELETE", f"/kv-lease-end/{identity}", alone=True)
+        answer = self._call(
+            "DELETE", f"/kv-lease-end/{identity}", single_use=True
+        )
         if isinstance(answer, Unavailable):
             return answer
         return answer.status == STATUS_OK
@@ -441,7 +443,7 @@
         body: bytes = b"",
         *,
         timeout: float | None = None,
-        alone: bool = False,
+        single_use: bool = False,
     ) -> connections.Answer | Unavailable:
         raw = self._client.exchange(
             method,
@@ -449,7 +451,7 @@
             body,
             timeout=self.timeout if timeout is None else timeout,
             body_timeout=BODY_TIMEOUT_S,
-            alone=alone,
+            single_use=single_use,
         )
         self._note(_store_wire.name_call(path), raw)
         if isinstance(raw, connections.NoAnswer):
--- a/src/rackvalve/platform/workers.py
+++ b/src/rackvalve/platform/workers.py
@@ -371,7 +371,7 @@
             path,
             order,
             self.timeout,
-            alone=is_last and not asks,
+            single_use=is_last and not asks,
         )
         if _shows_nothing(raw) and not asks and not is_last:
             return None
@@ -384,7 +384,7 @@
         order: dict[str, str | int],
         timeout: float,
         *,
-        alone: bool = False,
+        single_use: bool = False,
     ) -> connections.Answer | connections.NoAnswer:
         return client.exchange(
             "POST",
@@ -392,7 +392,7 @@
             msgspec.json.encode(order),
             headers=self._headers,
             timeout=timeout,
-            alone=alone,
+            single_use=single_use,
         )
 
 
