--- a/src/rackvalve/manager/job_api.py
+++ b/src/rackvalve/manager/job_api.py
@@ -361,7 +361,7 @@
             return phase
         return Reply(
             status=http.HTTPStatus.OK,
-            body=callers.write_state(_STATES[phase]),
+            body=callers.encode_state(_STATES[phase]),
         )
 
     def _read_phase(self, request: Request) -> progress.Phase | Reply:
@@ -443,7 +443,7 @@
         )
         return Reply(
             status=http.HTTPStatus.OK,
-            body=callers.write_waiting(found.waiting),
+            body=callers.encode_waiting(found.waiting),
         )
 
 
--- a/src/rackvalve/platform/callers.py
+++ b/src/rackvalve/platform/callers.py
@@ -79,7 +79,7 @@
     return job
 
 
-def write_state(state: State) -> bytes:
+def encode_state(state: State) -> bytes:
     """Encode a job's state.
 
     :param state: The state.
@@ -87,7 +87,7 @@
     return msgspec.json.encode({"state": state.value})
 
 
-def write_waiting(number: int) -> bytes:
+def encode_waiting(number: int) -> bytes:
     """Encode how many jobs of a queue wait.
 
     :param number: Accepted jobs none of whose tasks has begun.
