--- a/src/rackvalve/manager/caretaker.py
+++ b/src/rackvalve/manager/caretaker.py
@@ -462,7 +462,7 @@
         if state.published != status:
             state.published = status
             logs.write_event("wave.status", wave=number, status=status)
-            payload = documents.write_wave_status(state.complete)
+            payload = documents.encode_wave_status(state.complete)
             self._writer.enqueue(
                 f"{documents.WAVE_STATUS_PREFIX}{number}",
                 functools.partial(backlogs.Record, payload=payload),
--- a/src/rackvalve/platform/documents.py
+++ b/src/rackvalve/platform/documents.py
@@ -251,7 +251,7 @@
     )
 
 
-def write_wave_status(completed: bool) -> bytes:
+def encode_wave_status(completed: bool) -> bytes:
     """Encode how far a wave is.
 
     :param completed: Whether all its VMs have begun their maintenance.
