--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -167,7 +167,8 @@
         "127.0.0.1", context.server.port, "i-1", timeout=TIMEOUT_S
     )
     outcomes = [
-        worker.stop(task="t", run=run, fence=1, least=0.0) for run in (1, 2)
+        worker.stop(task="t", run=run, fence=1, min_clock=0.0)
+        for run in (1, 2)
     ]
     worker.close()
     context.server.stop()
@@ -199,7 +200,7 @@
             acknowledged=0,
             wait=0.0,
             timeout=TIMEOUT_S,
-            least=0.0,
+            min_clock=0.0,
         )
         for _ in range(3)
     ]
--- a/features/steps/other_life_steps.py
+++ b/features/steps/other_life_steps.py
@@ -68,7 +68,7 @@
         acknowledged=acknowledged,
         wait=0.0,
         timeout=TIMEOUT_S,
-        least=0.0,
+        min_clock=0.0,
     )
 
 
@@ -81,12 +81,12 @@
         fence=fence,
         checkpoint="",
         ticket="",
-        least=0.0,
+        min_clock=0.0,
     )
 
 
 def stop(client):
-    return client.stop(task="t.0.0.9", run=1, fence=1, least=0.0)
+    return client.stop(task="t.0.0.9", run=1, fence=1, min_clock=0.0)
 
 
 CALLS = {
--- a/src/rackvalve/manager/contact.py
+++ b/src/rackvalve/manager/contact.py
@@ -162,7 +162,7 @@
         least = self._clock.find_least(clocks.read_steady())
         fence = self._owner.fences.find(self._worker)
         try:
-            outcome = call(least=least, fence=fence, **fields)
+            outcome = call(min_clock=least, fence=fence, **fields)
         except Exception as error:
             logs.write_failure("task.failed", message=self._worker.identity)
             return connections.NoAnswer(reason=repr(error), sent=True)
--- a/src/rackvalve/platform/workers.py
+++ b/src/rackvalve/platform/workers.py
@@ -178,7 +178,7 @@
         fence: int,
         checkpoint: str,
         ticket: str,
-        least: float,
+        min_clock: float,
     ) -> Outcome:
         """Start a run of a task.
 
@@ -191,7 +191,7 @@
         :param fence: Fencing token of the sender.
         :param checkpoint: Where to go on from, empty for the beginning.
         :param ticket: Admission ticket, empty for none.
-        :param least: The least that the worker's clock can show, in seconds.
+        :param min_clock: Lowest clock that a reply can show, in seconds.
         """
         order: dict[str, str | int] = {
             "task": task,
@@ -204,24 +204,30 @@
             order["last-checkpoint"] = checkpoint
         if ticket:
             order["ticket"] = ticket
-        return self._order("/run-start", order, least)
+        return self._order("/run-start", order, min_clock)
 
     def stop(
-        self, *, task: str, run: int, fence: int, least: float
+        self, *, task: str, run: int, fence: int, min_clock: float
     ) -> Outcome:
         """Stop a run and reject it if it comes later.
 
         :param task: Name of the task.
         :param run: Number of the run.
         :param fence: Fencing token of the sender.
-        :param least: The least that the worker's clock can show, in seconds.
+        :param min_clock: Lowest clock that a reply can show, in seconds.
         """
         return self._order(
-            "/run-stop", {"task": task, "run": run, "fence": fence}, least
+            "/run-stop", {"task": task, "run": run, "fence": fence}, min_clock
         )
 
     def set_pace(
-        self, *, task: str, run: int, percent: int, fence: int, least: float
+        self,
+        *,
+        task: str,
+        run: int,
+        percent: int,
+        fence: int,
+        min_clock: float,
     ) -> Outcome:
         """Let a task work at a share of its speed.
 
@@ -229,12 +235,12 @@
         :param run: Number of the run.
         :param percent: The share, 0 to 100.
         :param fence: Fencing token of the sender.
-        :param least: The least that the worker's clock can show, in seconds.
+        :param min_clock: Lowest clock that a reply can show, in seconds.
         """
         return self._order(
             "/pace",
             {"task": task, "run": run, "percent": percent, "fence": fence},
-            least,
+            min_clock,
         )
 
     def hold(
@@ -245,7 +251,7 @@
         acknowledged: int,
         wait: float,
         timeout: float,
-        least: float,
+        min_clock: float,
     ) -> Report | Outcome:
         """Extend the lease on all that runs and ask what runs and ended.
 
@@ -255,7 +261,7 @@
         :param acknowledged: Ends up to this number may be forgotten.
         :param wait: Longest wait for an end, in seconds.
         :param timeout: How much later its answer may come, in seconds.
-        :param least: The least that the worker's clock can show, in seconds.
+        :param min_clock: Lowest clock that a reply can show, in seconds.
         """
         if self._must_ask(self._holds):
             shown = self._ask_life(self._holds, fence, timeout)
@@ -271,7 +277,7 @@
             order["wait-ms"] = int(wait * 1000)
         # The report before, told once more, shows no earlier time than is
         # known: clocks are told in whole milliseconds.
-        later = max(least, math.nextafter(self._reported, math.inf))
+        later = max(min_clock, math.nextafter(self._reported, math.inf))
         return self._take_hold(self._holds, order, wait + timeout, later)
 
     def _must_ask(self, client: connections.HttpClient) -> bool:
@@ -299,21 +305,21 @@
         client: connections.HttpClient,
         order: dict[str, str | int],
         timeout: float,
-        least: float,
+        min_clock: float,
     ) -> Report | Outcome:
         """Make a hold.
 
-        :param least: The least that the worker's clock can show, in seconds.
+        :param min_clock: Lowest clock that a reply can show, in seconds.
         """
         raw = self._send(client, "/hold", order, timeout)
         if not isinstance(raw, connections.Answer) or raw.status != STATUS_OK:
-            return _read_outcome(raw, client, least)
+            return _read_outcome(raw, client, min_clock)
         try:
             report = reports.read_report(raw.body)
             if self._is_others(report, raw):
                 client.discard_idle()
                 return OtherLife(born=report.born, clock=report.clock)
-            _check_clock(report.clock, raw, least)
+            _check_clock(report.clock, raw, min_clock)
         except _UNREADABLE as error:
             client.discard_idle()
             return connections.NoAnswer(reason=repr(error), sent=True)
@@ -332,15 +338,15 @@
         return raw.first and report.clock < self._reported
 
     def _order(
-        self, path: str, order: dict[str, str | int], least: float
+        self, path: str, order: dict[str, str | int], min_clock: float
     ) -> Outcome:
-        outcome = self._try_order(path, order, least, is_last=False)
+        outcome = self._try_order(path, order, min_clock, is_last=False)
         if outcome is not None:
             return outcome
         # Believed, an earlier order's refusal would let a task start
         # elsewhere while it runs here.  An order may come twice.
         self._orders.discard_idle()
-        outcome = self._try_order(path, order, least, is_last=True)
+        outcome = self._try_order(path, order, min_clock, is_last=True)
         assert outcome is not None
         return outcome
 
@@ -348,7 +354,7 @@
         self,
         path: str,
         order: dict[str, str | int],
-        least: float,
+        min_clock: float,
         *,
         is_last: bool,
     ) -> Outcome | None:
@@ -365,7 +371,7 @@
             if not isinstance(shown, Report):
                 return _withhold(shown)
             # That of a worker that was suspended is behind.
-            least = min(least, shown.clock)
+            min_clock = min(min_clock, shown.clock)
         raw = self._send(
             self._orders,
             path,
@@ -375,7 +381,7 @@
         )
         if _shows_nothing(raw) and not asks and not is_last:
             return None
-        return _read_outcome(raw, self._orders, least)
+        return _read_outcome(raw, self._orders, min_clock)
 
     def _send(
         self,
@@ -410,32 +416,34 @@
     return raw.status not in (STATUS_OK, STATUS_REJECTED)
 
 
-def _check_clock(clock: float, raw: connections.Answer, least: float) -> None:
+def _check_clock(
+    clock: float, raw: connections.Answer, min_clock: float
+) -> None:
     """Check that an answer belongs to its call.
 
     :param clock: What it tells, in seconds.
     :param raw: The answer.
-    :param least: The least that the answer to the call can tell.
+    :param min_clock: Lowest clock that the reply can show, in seconds.
     """
     if not 0 <= clock <= CLOCK_MOST_S:
         raise ValueError(f"no steady clock shows {clock} s")
-    if clock < least and not raw.first:
+    if clock < min_clock and not raw.first:
         raise _OtherCallError(
             f"the answer to an earlier call: its clock shows {clock} s, "
-            f"{least:.3f} s at least had passed"
+            f"{min_clock:.3f} s at least had passed"
         )
 
 
 def _read_outcome(
     raw: connections.Answer | connections.NoAnswer,
     client: connections.HttpClient,
-    least: float,
+    min_clock: float,
 ) -> Outcome:
     """Return what an answer to an order comes to.
 
     :param raw: The answer.
     :param client: The connections that it came on.
-    :param least: The least that its clock can tell, in seconds.
+    :param min_clock: Lowest clock that the reply can show, in seconds.
     """
     if isinstance(raw, connections.NoAnswer):
         return raw
@@ -450,7 +458,7 @@
         if wire.running is not msgspec.UNSET:
             raise _OtherCallError("the answer to a hold")
         clock = wire.clock / 1000
-        _check_clock(clock, raw, least)
+        _check_clock(clock, raw, min_clock)
     except _UNREADABLE as error:
         client.discard_idle()
         return connections.NoAnswer(reason=repr(error), sent=True)
