--- a/src/rackvalve/platform/_store_wire.py
+++ b/src/rackvalve/platform/_store_wire.py
@@ -1,8 +1,8 @@
-"""The store's calls and answers as they are on the wire.
+"""Wire formats of the store's calls and answers, used by the store's client.
 
-A field without a default must be there: an answer to another kind of call,
-taken for an empty range or an early revision, would make jobs and workers
-vanish.
+Fields without a default are required, so that an answer to another kind of
+call does not decode.  Taken for an empty range or an early revision, it would
+remove jobs and workers from the manager's state.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 
 def name_call(path: str) -> str:
-    """Return what a call does, for counts.
+    """Return the name of a call, for metrics.
 
     :param path: Path of the call.
     """
--- a/src/rackvalve/platform/store.py
+++ b/src/rackvalve/platform/store.py
@@ -1,10 +1,10 @@
-"""The client of the platform's key-value store.
+"""Client of the platform's key-value store, used by the managers.
 
-An answer may be a late one to an earlier call on the same connection.  To a
-commit it shows by its revision: believed, it would stand for a write that was
-never made.  A watch shares its connections with those before it on the same
-prefix only, whose answers tell what it would be told, or what was told before.
-All other calls have a connection of their own.
+A connection may deliver a second answer to an earlier call.  A commit detects
+it by its revision: otherwise a write that was never made would count as done.
+Watches of one prefix share connections with each other only, so that a second
+answer holds changes of the same prefix, which are filtered by revision.  All
+other calls use a connection once.
 """
 
 from __future__ import annotations
@@ -27,15 +27,16 @@
 STATUS_GONE = 410
 STATUS_CONFLICT = 412
 STATUS_BUSY = frozenset({429, 503})
-# Malformed: the store has done nothing.
+# The call was malformed; the store has done nothing.
 STATUS_INVALID = 400
-# A single key or lease may be missing; a range may only be empty.
+# Statuses of usable answers about one key or lease, which may be missing.  A
+# range without keys is empty and not missing.
 _FOUND = frozenset({STATUS_OK, STATUS_MISSING})
 
-# The store's own limit of conditions, writes and removals in one commit.
+# The store's limit on conditions, writes and removals in one commit.
 COMMIT_ENTRIES = 32
-# Longest wait for the rest of an answer whose beginning is there (seconds): a
-# page of 1 MB takes 2.7 s on the narrowest link of the users, of 5 Mbit/s.
+# Longest wait for the rest of an answer after its headers (seconds): a page of
+# 1 MB takes 2.7 s on the users' slowest link, 5 Mbit/s.
 BODY_TIMEOUT_S = 4.0
 
 
@@ -43,10 +44,10 @@
 class Item:
     """A stored value.
 
-    :param key: Its key.
+    :param key: Key of the value.
     :param payload: The value.
-    :param revision: Store revision of its last change.
-    :param created: Store revision of its creation.
+    :param revision: Store revision of the last change.
+    :param created: Store revision of the creation.
     """
 
     key: str
@@ -57,14 +58,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Missing:
-    """There is no such key."""
+    """The key does not exist."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Unavailable:
-    """A call that has no usable answer; for a write nothing was done.
+    """A call without a usable answer; a commit was not made.
 
-    :param reason: What happened, for logs.
+    :param reason: Cause of the failure, for logs.
     """
 
     reason: str
@@ -74,8 +75,9 @@
 class Range:
     """All items below a prefix.
 
-    :param items: The items, by key.
-    :param revision: Store revision from which a watch misses nothing.
+    :param items: The items, sorted by key.
+    :param revision: Store revision after which a watch has to start to miss no
+        change.
     """
 
     items: tuple[Item, ...]
@@ -84,11 +86,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Changes:
-    """What a watch saw.
+    """Changes that a watch returned.
 
-    :param written: Items as they were written, oldest first.
-    :param removed: Keys that were removed, with the revision.
-    :param revision: Store revision to go on from.
+    :param written: Items that were written, oldest first.
+    :param removed: Keys that were removed, with the revision of the removal.
+    :param revision: Store revision after which the next watch starts.
     """
 
     written: tuple[Item, ...]
@@ -103,10 +105,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Condition:
-    """A key that must have a revision for a commit to take place.
+    """A precondition of a commit: the revision of a key.
 
     :param key: The key.
-    :param revision: Its revision; 0 if it must be absent.
+    :param revision: Expected revision; 0 if the key must be absent.
     """
 
     key: str
@@ -115,11 +117,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Put:
-    """One value to write.
+    """A value to write.
 
     :param key: The key.
     :param payload: The value.
-    :param lease: The lease that the key ends with; 0 for none.
+    :param lease: Lease with whose end the key is removed; 0 for none.
     """
 
     key: str
@@ -129,9 +131,9 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Committed:
-    """The commit took place.
+    """The commit was made.
 
-    :param revision: Store revision of all its writes.
+    :param revision: Store revision of all writes of the commit.
     """
 
     revision: int
@@ -139,10 +141,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Conflict:
-    """A condition did not hold; nothing was done.
+    """A condition did not hold; nothing was written.
 
-    :param items: The present items of the conditions, by key; an absent key
-        has none.
+    :param items: Present items of the keys in the conditions, by key; absent
+        keys are left out.
     """
 
     items: dict[str, Item]
@@ -155,9 +157,9 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Unknown:
-    """A write without an answer: done, not done, or yet to be done.
+    """A write with an unknown outcome; the store may still make it later.
 
-    :param reason: What happened, for logs.
+    :param reason: Cause of the failure, for logs.
     """
 
     reason: str
@@ -165,10 +167,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Lease:
-    """A lease that runs.
+    """A lease that has not expired.
 
-    :param identity: Its number.
-    :param duration: Its length from the arrival of the last call, in seconds.
+    :param identity: Number of the lease.
+    :param duration: Time until it expires, in seconds from the arrival of the
+        last call that opened or renewed it at the store.
     """
 
     identity: int
@@ -176,21 +179,21 @@
 
 
 class Store:
-    """Calls the store.
+    """Client of the store.
 
-    :param host: IP number of the store.
+    :param host: IP address of the store.
     :param port: Port of the store.
     :param timeout: Longest wait for an answer, in seconds.
-    :param on_call: Told the name and the outcome of each call.
+    :param on_call: Callback that gets the name and the outcome of each call.
     """
 
     __slots__ = (
         "_address",
         "_client",
-        "_watches",
+        "_watch_clients",
         "timeout",
         "_on_call",
-        "_newest",
+        "_last_committed",
     )
 
     def __init__(
@@ -204,20 +207,20 @@
         self._address = (host, port)
         self._on_call = on_call
         self._client = connections.HttpClient(host, port)
-        # Connections of watches, by prefix.
-        self._watches: dict[str, connections.HttpClient] = {}
+        # Clients of watches, by prefix.
+        self._watch_clients: dict[str, connections.HttpClient] = {}
         self.timeout = timeout
-        # The greatest revision that a commit was answered with.
-        self._newest = 0
+        # Highest revision of the commits that were answered.
+        self._last_committed = 0
 
     def set_address(self, host: str, port: int) -> None:
-        """Call another address from now on.
+        """Use another address for all further calls.
 
-        :param host: IP number of the store.
+        :param host: IP address of the store.
         :param port: Port of the store.
         """
         self._address = (host, port)
-        for client in (self._client, *self._watches.values()):
+        for client in (self._client, *self._watch_clients.values()):
             client.set_address(host, port)
 
     def read(self, key: str) -> Item | Missing | Unavailable:
@@ -253,8 +256,8 @@
             if isinstance(page, Unavailable):
                 return page
             items.extend(_to_item(item) for item in page.items)
-            # Pages are read one after the other: only a watch from the first
-            # one's revision misses nothing.
+            # Later pages may show later revisions: only a watch from the first
+            # page's revision misses no change.
             first = page.at if first < 0 else first
             if not page.more or not page.items:
                 return Range(items=tuple(items), revision=first)
@@ -266,22 +269,23 @@
         """Wait for changes below a prefix.
 
         :param prefix: The prefix.
-        :param after: Store revision after which changes are wanted.
+        :param after: Store revision after which changes are returned.
         :param wait: Longest wait for a change, in seconds.
-        :param slack: How much later the answer may come, in seconds.
+        :param slack: Time added to the wait for the answer to arrive, in
+            seconds.
         """
         path = (
             f"/kv-watch?path-prefix={_quote(prefix)}&after-rev={after}"
             f"&wait-ms={int(wait * 1000)}"
         )
-        client = self._find_watches(prefix)
+        client = self._get_watch_client(prefix)
         raw = client.exchange(
             "GET",
             path,
             timeout=wait + slack,
             body_timeout=BODY_TIMEOUT_S,
         )
-        self._note("watch", raw)
+        self._count_call("watch", raw)
         if isinstance(raw, connections.NoAnswer):
             return Unavailable(reason=raw.reason)
         if raw.status == STATUS_GONE:
@@ -292,7 +296,7 @@
         if isinstance(answer, Unavailable):
             client.discard_idle()
             return answer
-        # A late answer may tell again what was told before.
+        # A second answer to an earlier watch may repeat older changes.
         events = [event for event in answer.events if event.rev > after]
         return Changes(
             written=tuple(
@@ -304,11 +308,11 @@
             revision=max(after, answer.at),
         )
 
-    def _find_watches(self, prefix: str) -> connections.HttpClient:
-        found = self._watches.get(prefix)
+    def _get_watch_client(self, prefix: str) -> connections.HttpClient:
+        found = self._watch_clients.get(prefix)
         if found is None:
             found = connections.HttpClient(*self._address)
-            self._watches[prefix] = found
+            self._watch_clients[prefix] = found
         return found
 
     def commit(
@@ -319,13 +323,13 @@
         *,
         timeout: float | None = None,
     ) -> Committed | Conflict | LeaseOver | Unavailable | Unknown:
-        """Write several keys at once if all conditions hold.
+        """Write and remove keys atomically if all conditions hold.
 
-        :param conditions: Revisions that keys must have.
-        :param puts: What to write.
+        :param conditions: Expected revisions of keys.
+        :param puts: Values to write.
         :param removals: Keys to remove.
         :param timeout: Longest wait for an answer, in seconds; ``None`` for
-            the usual one.
+            the client's default.
         """
         body = msgspec.json.encode(
             {
@@ -337,7 +341,7 @@
                 "remove": removals or [],
             }
         )
-        least = self._newest + 1
+        min_revision = self._last_committed + 1
         raw = self._client.exchange(
             "POST",
             "/kv-txn",
@@ -345,7 +349,7 @@
             timeout=self.timeout if timeout is None else timeout,
             body_timeout=BODY_TIMEOUT_S,
         )
-        self._note("commit", raw)
+        self._count_call("commit", raw)
         if isinstance(raw, connections.NoAnswer):
             if raw.sent:
                 return Unknown(reason=raw.reason)
@@ -356,18 +360,18 @@
             return LeaseOver()
         if raw.status not in (STATUS_OK, STATUS_CONFLICT):
             return Unknown(reason=f"status {raw.status}")
-        outcome = self._read_commit(raw, least)
+        outcome = self._read_commit(raw, min_revision)
         if isinstance(outcome, Unknown):
             self._client.discard_idle()
         return outcome
 
     def _read_commit(
-        self, raw: connections.Answer, least: int
+        self, raw: connections.Answer, min_revision: int
     ) -> Committed | Conflict | Unknown:
-        """Return what the answer to a commit comes to.
+        """Decode the answer to a commit.
 
         :param raw: The answer.
-        :param least: The least revision that the commit can have.
+        :param min_revision: Lowest revision that the commit can have.
         """
         if raw.status == STATUS_CONFLICT:
             found = _decode(raw.body, _store_wire.WireConflict)
@@ -379,17 +383,17 @@
         done = _decode(raw.body, _store_wire.WireCommitted)
         if isinstance(done, Unavailable):
             return Unknown(reason=done.reason)
-        if done.rev < least and not raw.first:
+        if done.rev < min_revision and not raw.first:
             return Unknown(reason="the answer to an earlier commit")
-        # A store that goes back is another one.
-        known = self._newest if done.rev >= least else 0
-        self._newest = max(known, done.rev)
+        # A lower revision means that the store was replaced.
+        known = self._last_committed if done.rev >= min_revision else 0
+        self._last_committed = max(known, done.rev)
         return Committed(revision=done.rev)
 
     def open_lease(self, duration: float) -> Lease | Unavailable:
         """Open a lease.
 
-        :param duration: Wanted length, in seconds.
+        :param duration: Requested length, in seconds.
         """
         body = msgspec.json.encode({"ttl_ms": int(duration * 1000)})
         answer = self._call("POST", "/kv-lease", body, single_use=True)
@@ -403,10 +407,11 @@
     def renew_lease(self, identity: int, timeout: float) -> bool | Unavailable:
         """Renew a lease.
 
-        :param identity: Its number.
-        :param timeout: Longest wait for an answer, in seconds: a renewal whose
-            answer is lost has taken effect, and the next one must not be late.
-        :return: Whether it still runs.
+        :param identity: Number of the lease.
+        :param timeout: Longest wait for an answer, in seconds.  A renewal
+            whose answer is lost has taken effect, and waiting longer for it
+            would delay the next renewal.
+        :return: Whether the lease still runs.
         """
         answer = self._call(
             "POST", f"/kv-keep/{identity}", timeout=timeout, single_use=True
@@ -418,8 +423,8 @@
     def end_lease(self, identity: int) -> bool | Unavailable:
         """End a lease and remove its keys.
 
-        :param identity: Its number.
-        :return: Whether it ran until now.
+        :param identity: Number of the lease.
+        :return: Whether the lease was still running.
         """
         answer = self._call(
             "DELETE", f"/kv-lease-end/{identity}", single_use=True
@@ -428,7 +433,7 @@
             return answer
         return answer.status == STATUS_OK
 
-    def _note(
+    def _count_call(
         self, call: str, raw: connections.Answer | connections.NoAnswer
     ) -> None:
         if isinstance(raw, connections.Answer):
@@ -453,7 +458,7 @@
             body_timeout=BODY_TIMEOUT_S,
             single_use=single_use,
         )
-        self._note(_store_wire.name_call(path), raw)
+        self._count_call(_store_wire.name_call(path), raw)
         if isinstance(raw, connections.NoAnswer):
             return Unavailable(reason=raw.reason)
         allowed = {STATUS_OK} if path.startswith("/kv-range") else _FOUND
--- a/src/rackvalve/platform/workers.py
+++ b/src/rackvalve/platform/workers.py
@@ -1,4 +1,7 @@
-"""The client of one worker: orders, the lease on what runs, and reports."""
+"""Client of one worker: orders, lease renewals and reports.
+
+A worker's session uses it.
+"""
 
 from __future__ import annotations
 
@@ -14,25 +17,26 @@
 
 STATUS_OK = 200
 STATUS_REJECTED = 409
-STATUS_OTHER_LIFE = 421
+STATUS_OTHER_INCARNATION = 421
 STATUS_UNWELL = frozenset({429, 503})
-LIFE_HEADER = "Expect-Instance"
-# The longest that a steady clock may have run: 30,000 years.  Leases that end
-# after it could not be written, and no answer could tell so any more.
-CLOCK_MOST_S = 1e12
+INCARNATION_HEADER = "Expect-Instance"
+# Highest accepted reading of a steady clock, 30,000 years.  Lease ends beyond
+# it could not be encoded, so that no later answer could correct the reading.
+MAX_CLOCK_S = 1e12
 
-# What a worker answers to a hold.
+# The answer to a hold.
 Report = reports.Report
 
 
 class Reason(enum.Enum):
-    """Why a worker rejected a start, in the platform's words."""
+    """Why a worker rejected an order; the values are the platform's."""
 
-    # The worker has taken a greater fencing token.
+    # The worker has seen a greater fencing token.
     FENCED = "fence"
-    # The run is not above one that was stopped or has ended here.
+    # The run's number is not above that of a run which was stopped or has
+    # ended on the worker.
     OUTDATED_RUN = "old"
-    # The time that was to be leased is over on the worker's clock.
+    # The lease has expired on the worker's clock.
     LEASE_OVER = "late"
     NO_ROOM = "room"
     TICKET = "ticket"
@@ -53,7 +57,7 @@
     """The worker did not carry out the order.
 
     :param clock: The worker's steady clock, in seconds.
-    :param reason: Why; ``None`` for a reason that this client does not know.
+    :param reason: Reason; ``None`` for one that this client does not know.
     """
 
     clock: float
@@ -62,7 +66,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Unwell:
-    """The worker says that it is not well and has done nothing.
+    """The worker reports that it is unhealthy and has done nothing.
 
     :param status: HTTP status.
     """
@@ -72,12 +76,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class OtherLife:
-    """Another life of a worker answers at this address.
+    """Another incarnation, or another worker, answers at this address.
 
-    :param born: Its birth if it has the name of the one that was called, in
-        milliseconds since 1970; ``None`` if it tells none.
-    :param clock: What its steady clock shows, in seconds; ``None`` for
-        another worker.
+    :param born: Start time of the answering incarnation if the worker's name
+        is the same, in milliseconds since 1970; ``None`` if not reported.
+    :param clock: The worker's steady clock, in seconds; ``None`` for another
+        worker.
     """
 
     born: int | None = None
@@ -86,7 +90,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Malformed:
-    """The worker does not understand the order.
+    """The worker could not decode the order.
 
     :param status: HTTP status.
     """
@@ -94,7 +98,7 @@
     status: int
 
 
-# What the reading of an odd answer raises.
+# Errors that decoding a malformed answer raises.
 _UNREADABLE = (
     msgspec.DecodeError,
     ValueError,
@@ -111,54 +115,58 @@
 class _WireAnswer(msgspec.Struct):
     clock: float = msgspec.field(name="clock-ms")
     reason: str = ""
-    # With this it is the answer to a hold.
+    # Only answers to a hold have this field.
     running: msgspec.Raw | msgspec.UnsetType = msgspec.UNSET
 
 
 class _OtherCallError(ValueError):
-    """An answer whose clock shows a time before the call."""
+    """An answer belongs to another call.
+
+    Its clock shows a time before the call, or it is of another kind.
+    """
 
 
 class Worker:
-    """Calls one life of a worker.
-
-    Answers may be late ones to earlier calls on the same connection.  Each
-    call says the least that the worker's clock can show by now, which a late
-    answer does not reach: an older report that stands for a newer one would
-    prove runs over that have begun in between, and they would start
-    elsewhere.  A clock that is behind on a new connection is a worker that was
-    suspended.
-
-    A worker may start again under its name.  A new connection asks first which
-    life is there, if the worker tells births, and carries other calls to the
-    one that is meant only.
-
-    :param host: IP number of its address.
-    :param port: Port of its address.
-    :param life: Its identity.
+    """Client of one incarnation of a worker.
+
+    A connection may deliver a second answer to an earlier call.  Each call
+    therefore gives the lowest reading that the worker's clock can have by now;
+    an answer with a lower one is rejected.  An old report taken for a new one
+    would show runs that were started in between as ended, and they would start
+    elsewhere.  A lower clock in the first answer on a new connection is taken
+    as it is: it belongs to a worker that was suspended.
+
+    A worker may restart under the same name.  If it reports start times, the
+    first call on a new connection checks which incarnation answers, and other
+    calls are made only to the intended one.
+
+    :param host: IP address of the worker.
+    :param port: Port of the worker.
+    :param incarnation: Identity of the incarnation.
     :param timeout: Longest wait for the answer to an order, in seconds.
     """
 
     __slots__ = (
         "_orders",
         "_holds",
-        "_reported",
+        "_last_report_clock",
         "_headers",
         "_born",
         "timeout",
     )
 
     def __init__(
-        self, host: str, port: int, life: str, *, timeout: float
+        self, host: str, port: int, incarnation: str, *, timeout: float
     ) -> None:
-        # A late answer to an order, which tells of no runs, meets no hold.
+        # Holds have their own connections, so that the second answer to an
+        # order, which lists no runs, is never read as a report.
         self._orders = connections.HttpClient(host, port)
         self._holds = connections.HttpClient(host, port)
-        # What the clock showed in the last report, in seconds.
-        self._reported = float("-inf")
-        known = incarnations.parse_incarnation(life)
-        # By its name a call reaches whatever life the worker has now.
-        self._headers = ((LIFE_HEADER, known.worker),)
+        # The worker's clock in the last report, in seconds.
+        self._last_report_clock = float("-inf")
+        known = incarnations.parse_incarnation(incarnation)
+        # The header holds the worker's name only: any incarnation accepts it.
+        self._headers = ((INCARNATION_HEADER, known.worker),)
         self._born = known.born
         # Longest wait for the answer to an order, in seconds.
         self.timeout = timeout
@@ -182,15 +190,15 @@
     ) -> Outcome:
         """Start a run of a task.
 
-        One that could not be sent to this life was not sent.
+        The order is sent to this incarnation only.
 
         :param task: Name of the task.
         :param run: Number of the run.
-        :param spec: The job's text for its tasks.
-        :param lease_until: End of the lease on the worker's clock, seconds.
+        :param spec: The job's specification for its tasks.
+        :param lease_until: End of the lease on the worker's clock, in seconds.
         :param fence: Fencing token of the sender.
-        :param checkpoint: Where to go on from, empty for the beginning.
-        :param ticket: Admission ticket, empty for none.
+        :param checkpoint: Checkpoint to resume from; empty to start afresh.
+        :param ticket: Admission ticket; empty for none.
         :param min_clock: Lowest clock that a reply can show, in seconds.
         """
         order: dict[str, str | int] = {
@@ -209,7 +217,7 @@
     def stop(
         self, *, task: str, run: int, fence: int, min_clock: float
     ) -> Outcome:
-        """Stop a run and reject it if it comes later.
+        """Stop a run; the worker rejects a start of it that arrives later.
 
         :param task: Name of the task.
         :param run: Number of the run.
@@ -229,7 +237,7 @@
         fence: int,
         min_clock: float,
     ) -> Outcome:
-        """Let a task work at a share of its speed.
+        """Throttle a run to a share of its full speed.
 
         :param task: Name of the task.
         :param run: Number of the run.
@@ -253,20 +261,23 @@
         timeout: float,
         min_clock: float,
     ) -> Report | Outcome:
-        """Extend the lease on all that runs and ask what runs and ended.
+        """Renew the lease on all runs and return the worker's report.
 
-        :param lease_until: End of the lease on the worker's clock, seconds;
-            ``None`` to leave it as it is.
+        :param lease_until: End of the lease on the worker's clock, in seconds;
+            ``None`` to leave the lease unchanged.
         :param fence: Fencing token of the sender.
-        :param acknowledged: Ends up to this number may be forgotten.
-        :param wait: Longest wait for an end, in seconds.
-        :param timeout: How much later its answer may come, in seconds.
+        :param acknowledged: Number of the last recorded end; the worker may
+            forget ends up to it.
+        :param wait: Longest time that the worker waits for a run to end before
+            answering, in seconds.
+        :param timeout: Time added to the wait for the answer to arrive, in
+            seconds.
         :param min_clock: Lowest clock that a reply can show, in seconds.
         """
-        if self._must_ask(self._holds):
-            shown = self._ask_life(self._holds, fence, timeout)
-            if not isinstance(shown, Report) or self._holds.has_connection():
-                return shown
+        if self._must_probe(self._holds):
+            found = self._probe_incarnation(self._holds, fence, timeout)
+            if not isinstance(found, Report) or self._holds.has_connection():
+                return found
         order: dict[str, str | int] = {
             "fence": fence,
             "last-seen": acknowledged,
@@ -275,39 +286,41 @@
             order["until-ms"] = int(lease_until * 1000)
         if wait > 0:
             order["wait-ms"] = int(wait * 1000)
-        # The report before, told once more, shows no earlier time than is
-        # known: clocks are told in whole milliseconds.
-        later = max(min_clock, math.nextafter(self._reported, math.inf))
-        return self._take_hold(self._holds, order, wait + timeout, later)
-
-    def _must_ask(self, client: connections.HttpClient) -> bool:
-        """Return whether it is to be asked first which life is there.
-
-        A call reaches whatever life has the worker's name.  The one that
-        answered on a connection is there for as long as that is open; on a
-        new one, a start might run beside another of its task, and ends that
-        nobody has read might be forgotten.
+        # Clocks have whole milliseconds: a repeat of the last report within
+        # one millisecond is not below min_clock, so its reading is excluded.
+        lowest = max(
+            min_clock, math.nextafter(self._last_report_clock, math.inf)
+        )
+        return self._exchange_hold(self._holds, order, wait + timeout, lowest)
+
+    def _must_probe(self, client: connections.HttpClient) -> bool:
+        """Return whether the next call needs a check of the incarnation.
+
+        Any incarnation with the worker's name accepts calls.  On an open
+        connection the incarnation cannot change.  On a new one, a start sent
+        to another incarnation might run beside another run of its task, and a
+        hold might make it forget ends that were never read.
         """
         return self._born is not None and not client.has_connection()
 
-    def _ask_life(
+    def _probe_incarnation(
         self, client: connections.HttpClient, fence: int, timeout: float
     ) -> Report | Outcome:
-        """Ask what a worker has, and change nothing there.
+        """Get a report without changing anything on the worker.
 
-        :return: The report, if it is this life's.
+        :return: The report, or :class:`OtherLife` for another incarnation.
         """
         order: dict[str, str | int] = {"fence": fence, "last-seen": 0}
-        return self._take_hold(client, order, timeout, float("-inf"))
+        return self._exchange_hold(client, order, timeout, float("-inf"))
 
-    def _take_hold(
+    def _exchange_hold(
         self,
         client: connections.HttpClient,
         order: dict[str, str | int],
         timeout: float,
         min_clock: float,
     ) -> Report | Outcome:
-        """Make a hold.
+        """Send a hold and decode the report.
 
         :param min_clock: Lowest clock that a reply can show, in seconds.
         """
@@ -316,7 +329,7 @@
             return _read_outcome(raw, client, min_clock)
         try:
             report = reports.read_report(raw.body)
-            if self._is_others(report, raw):
+            if self._is_other_incarnation(report, raw):
                 client.discard_idle()
                 return OtherLife(born=report.born, clock=report.clock)
             _check_clock(report.clock, raw, min_clock)
@@ -324,18 +337,20 @@
             client.discard_idle()
             return connections.NoAnswer(reason=repr(error), sent=True)
         if client is self._holds:
-            self._reported = report.clock
+            self._last_report_clock = report.clock
         return report
 
-    def _is_others(self, report: Report, raw: connections.Answer) -> bool:
-        """Return whether another life of the worker has made a report.
+    def _is_other_incarnation(
+        self, report: Report, raw: connections.Answer
+    ) -> bool:
+        """Return whether a report is of another incarnation.
 
-        The steady clock of a life never goes back, also where its VM was
-        suspended: then it stands still.
+        The steady clock of an incarnation never goes back; while its VM is
+        suspended, it stops.
         """
         if report.born is not None:
             return report.born != self._born
-        return raw.first and report.clock < self._reported
+        return raw.first and report.clock < self._last_report_clock
 
     def _order(
         self, path: str, order: dict[str, str | int], min_clock: float
@@ -343,8 +358,9 @@
         outcome = self._try_order(path, order, min_clock, is_last=False)
         if outcome is not None:
             return outcome
-        # Believed, an earlier order's refusal would let a task start
-        # elsewhere while it runs here.  An order may come twice.
+        # The refusal may be that of an earlier order.  Taken for this one's,
+        # it would let the task start elsewhere while it runs here.  Orders are
+        # idempotent, so this one is repeated on a new connection.
         self._orders.discard_idle()
         outcome = self._try_order(path, order, min_clock, is_last=True)
         assert outcome is not None
@@ -358,28 +374,28 @@
         *,
         is_last: bool,
     ) -> Outcome | None:
-        """Send an order once, to this life only.
+        """Send an order once, to this incarnation only.
 
-        :param is_last: Whether it has a connection to itself.
-        :return: What its answer comes to; ``None`` if that may be another
-            order's.
+        :param is_last: Whether this is the second attempt, on a new
+            connection.
+        :return: The outcome; ``None`` if the answer may be another order's.
         """
-        asks = self._must_ask(self._orders)
-        if asks:
+        probes = self._must_probe(self._orders)
+        if probes:
             fence = int(order["fence"])
-            shown = self._ask_life(self._orders, fence, self.timeout)
-            if not isinstance(shown, Report):
-                return _withhold(shown)
-            # That of a worker that was suspended is behind.
-            min_clock = min(min_clock, shown.clock)
+            found = self._probe_incarnation(self._orders, fence, self.timeout)
+            if not isinstance(found, Report):
+                return _to_unsent(found)
+            # The clock of a worker that was suspended is behind.
+            min_clock = min(min_clock, found.clock)
         raw = self._send(
             self._orders,
             path,
             order,
             self.timeout,
-            single_use=is_last and not asks,
+            single_use=is_last and not probes,
         )
-        if _shows_nothing(raw) and not asks and not is_last:
+        if _is_ambiguous(raw) and not probes and not is_last:
             return None
         return _read_outcome(raw, self._orders, min_clock)
 
@@ -402,15 +418,21 @@
         )
 
 
-def _withhold(outcome: Outcome) -> Outcome:
-    """Return what becomes of an order that was not sent for an outcome."""
+def _to_unsent(outcome: Outcome) -> Outcome:
+    """Return the outcome of an order that a failed probe held back.
+
+    :param outcome: Outcome of the probe.
+    """
     if isinstance(outcome, connections.NoAnswer):
         return connections.NoAnswer(reason=outcome.reason, sent=False)
     return outcome
 
 
-def _shows_nothing(raw: connections.Answer | connections.NoAnswer) -> bool:
-    """Return whether nothing tells which order an answer belongs to."""
+def _is_ambiguous(raw: connections.Answer | connections.NoAnswer) -> bool:
+    """Return whether an answer may belong to an earlier order.
+
+    Only answers with a clock reading can be matched to their order.
+    """
     if isinstance(raw, connections.NoAnswer) or raw.first:
         return False
     return raw.status not in (STATUS_OK, STATUS_REJECTED)
@@ -421,16 +443,16 @@
 ) -> None:
     """Check that an answer belongs to its call.
 
-    :param clock: What it tells, in seconds.
+    :param clock: The worker's clock in the answer, in seconds.
     :param raw: The answer.
     :param min_clock: Lowest clock that the reply can show, in seconds.
     """
-    if not 0 <= clock <= CLOCK_MOST_S:
-        raise ValueError(f"no steady clock shows {clock} s")
+    if not 0 <= clock <= MAX_CLOCK_S:
+        raise ValueError(f"steady clock out of range: {clock} s")
     if clock < min_clock and not raw.first:
         raise _OtherCallError(
-            f"the answer to an earlier call: its clock shows {clock} s, "
-            f"{min_clock:.3f} s at least had passed"
+            f"answer to an earlier call: its clock shows {clock} s, "
+            f"below the lowest possible reading of {min_clock:.3f} s"
         )
 
 
@@ -439,24 +461,24 @@
     client: connections.HttpClient,
     min_clock: float,
 ) -> Outcome:
-    """Return what an answer to an order comes to.
+    """Decode the answer to an order.
 
     :param raw: The answer.
-    :param client: The connections that it came on.
+    :param client: Client that received the answer.
     :param min_clock: Lowest clock that the reply can show, in seconds.
     """
     if isinstance(raw, connections.NoAnswer):
         return raw
     if raw.status in STATUS_UNWELL:
         return Unwell(status=raw.status)
-    if raw.status == STATUS_OTHER_LIFE:
+    if raw.status == STATUS_OTHER_INCARNATION:
         return OtherLife()
     if raw.status not in (STATUS_OK, STATUS_REJECTED):
         return Malformed(status=raw.status)
     try:
         wire = msgspec.json.decode(raw.body, type=_WireAnswer)
         if wire.running is not msgspec.UNSET:
-            raise _OtherCallError("the answer to a hold")
+            raise _OtherCallError("answer to a hold instead of an order")
         clock = wire.clock / 1000
         _check_clock(clock, raw, min_clock)
     except _UNREADABLE as error:
