--- a/src/rackvalve/manager/backlog.py
+++ b/src/rackvalve/manager/backlog.py
@@ -145,7 +145,7 @@
             answer.
         """
         ready = len(self._urgent) + len(self._delayable)
-        if not ready or self.in_flight >= timing.COMMITS_MOST:
+        if not ready or self.in_flight >= timing.MAX_COMMITS_IN_FLIGHT:
             return None
         if self._batches and self.is_failing:
             return None
--- a/src/rackvalve/manager/program.py
+++ b/src/rackvalve/manager/program.py
@@ -67,7 +67,7 @@
             machines.host, machines.port
         )
         self._machines = machine_clients.Machines(
-            self._machine_client, vm, timeout=timing.MACHINES_TIMEOUT_S
+            self._machine_client, vm, timeout=timing.VM_API_TIMEOUT_S
         )
         self._adviser = self._make_adviser()
         self._view = views.View()
@@ -109,7 +109,7 @@
             on_changes=self._view.apply_changes,
             on_contact=self._record_operator_contact,
         )
-        pause = timing.FAILURE_PAUSE_S
+        pause = timing.TASK_RESTART_DELAY_S
         tasks.run_forever("operator watch", pause, operator.run)
         tasks.run_forever("settings", pause, self._watch_settings)
         self._election.start()
@@ -148,7 +148,7 @@
             telemetry=self._telemetry,
             on_contact=self._view.note_contact,
         )
-        rules = owners.Rules(
+        durations = owners.Durations(
             keep=self._settings.get("manager", "keep_time", float),
             order_pause=self._settings.get("manager", "order_pause", float),
             pace_interval=self._settings.get(
@@ -156,7 +156,7 @@
             ),
             stop_time=self._settings.get("manager", "stop_time", float),
         )
-        return owners.Owner(resources, rules, configuration, fence)
+        return owners.Owner(resources, durations, configuration, fence)
 
     def _make_adviser(self) -> advisers.Adviser | None:
         addresses = self._settings.get("manager", "adviser", tuple)
@@ -173,7 +173,7 @@
         ready = (
             not self._stopping
             and self._view.configuration is not None
-            and silence <= timing.READY_SILENCE_S
+            and silence <= timing.MAX_STORE_SILENCE_S
         )
         status = "200 OK" if ready else "503 Service Unavailable"
         start_response(status, [("Content-Type", "application/json")])
@@ -192,11 +192,11 @@
         self._election.resign()
         grace = self._settings.get("manager", "grace_time", float)
         began = clocks.read_steady()
-        gevent.sleep(min(timing.LEAVE_S, grace / 2))
+        gevent.sleep(min(timing.SHUTDOWN_DELAY_S, grace / 2))
         if self._job_api_listener is not None:
             # Requests on open connections are still served.
             self._job_api_listener.close()
-        self._wait_for_requests(began + grace - timing.END_MARGIN_S)
+        self._wait_for_requests(began + grace - timing.SHUTDOWN_MARGIN_S)
         self._ended.set()
 
     def _wait_for_requests(self, until: float) -> None:
@@ -209,9 +209,9 @@
             now = clocks.read_steady()
             if self._job_api.active_requests:
                 idle_since = now
-            elif now - idle_since >= timing.LAST_CALLS_S:
+            elif now - idle_since >= timing.SHUTDOWN_IDLE_S:
                 return
-            gevent.sleep(timing.LAST_CALLS_S / 4)
+            gevent.sleep(timing.SHUTDOWN_IDLE_S / 4)
 
     def _reload(self) -> None:
         settings, faults = reader.check_file(self._path, catalog.MANAGER_KEYS)
