--- a/features/odd_answers.py
+++ b/features/odd_answers.py
@@ -1,4 +1,4 @@
-"""Answers that are well-formed and odd, from peers that nobody vouches for."""
+"""Generates well-formed answers with odd values, as a faulty peer sends."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     "\u0000\ud7ff",
     "..",
     "-1.0.0",
-    # Names of tasks that no job has.
+    # Names of tasks that do not exist.
     f"{IDENTITY}.0.0.99",
     f"{IDENTITY}.9.0.0",
     f"{IDENTITY}.0.9.0",
@@ -39,15 +39,15 @@
     [{}],
     [None],
 )
-# Numbers beyond what the decoder's floats hold, as text in the JSON.
+# A number beyond the range of floats, inserted into the JSON text.
 _HUGE = "1e400"
 
 
 def vary(rng: random.Random, document: object) -> bytes:
-    """Return a document with some of its parts made odd.
+    """Return a document with some parts replaced, removed or repeated.
 
-    :param rng: Chooses which and how.
-    :param document: The document as it should be.
+    :param rng: Random generator that chooses the parts and changes.
+    :param document: The valid document.
     """
     odd = copy.deepcopy(document)
     for _ in range(rng.randint(1, 3)):
--- a/features/steps/connection_steps.py
+++ b/features/steps/connection_steps.py
@@ -1,4 +1,4 @@
-"""Steps about connections to the platform's servers."""
+"""Steps about the HTTP client's connections to the platform's servers."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 
 
 class SilencedServer:
-    """Answers every call, but on connections that were silenced."""
+    """Answers calls on all connections but the silenced ones."""
 
     def __init__(self):
         self.silenced = set()
         self.open = set()
-        # Calls are answered once so many have come.
-        self.together = 1
+        # No call is answered before this many have arrived, so that the first
+        # calls open a connection each.
+        self.batch = 1
         self.calls = 0
         self.resets = 0
         self._server = gevent_server.StreamServer(
@@ -37,7 +38,7 @@
             if address in self.silenced:
                 continue
             self.calls += 1
-            while self.calls < self.together:
+            while self.calls < self.batch:
                 gevent.sleep(0.001)
             sock.sendall(ANSWER)
 
@@ -56,7 +57,7 @@
 @behave.given("a server to which {count:d} connections are open and idle")
 def open_connections(context, count):
     context.server = SilencedServer()
-    context.server.together = count
+    context.server.batch = count
     context.client = connections.HttpClient("127.0.0.1", context.server.port)
     calls = [gevent.spawn(call, context) for _ in range(count)]
     gevent.joinall(calls)
@@ -85,12 +86,12 @@
 
 
 @behave.when("a call to it is not answered in time")
-def wait_in_vain(context):
+def wait_for_timeout(context):
     assert isinstance(call(context), connections.NoAnswer)
 
 
 @behave.when("a call to it is ended together with its caller")
-def end_caller(context):
+def cancel_caller(context):
     made = gevent.spawn(call, context)
     gevent.sleep(TIMEOUT_S / 3)
     made.kill()
--- a/features/steps/input_steps.py
+++ b/features/steps/input_steps.py
@@ -1,4 +1,4 @@
-"""Steps about bad input."""
+"""Steps about invalid requests to an entry."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def send_raw(context, data, timeout=10.0):
-    """Send bytes as they are, and return all that comes back."""
+    """Send bytes unchanged and return everything that is received."""
     entry = get_entry(context)
     with socket.create_connection(
         (fleets.HOST, entry.entry_port), timeout
--- a/src/rackvalve/platform/workers.py
+++ b/src/rackvalve/platform/workers.py
@@ -129,8 +129,8 @@
 class Worker:
     """Client of one incarnation of a worker.
 
-    A connection may deliver a second answer to an earlier call.  Each call
-    therefore gives the lowest reading that the worker's clock can have by now;
+    A connection may deliver a second answer to an earlier call.  Callers
+    therefore pass the lowest reading that the worker's clock can have by now;
     an answer with a lower one is rejected.  An old report taken for a new one
     would show runs that were started in between as ended, and they would start
     elsewhere.  A lower clock in the first answer on a new connection is taken
@@ -190,7 +190,8 @@
     ) -> Outcome:
         """Start a run of a task.
 
-        The order is sent to this incarnation only.
+        The order is not sent if another incarnation answers or the check of
+        the incarnation fails.
 
         :param task: Name of the task.
         :param run: Number of the run.
@@ -199,7 +200,7 @@
         :param fence: Fencing token of the sender.
         :param checkpoint: Checkpoint to resume from; empty to start afresh.
         :param ticket: Admission ticket; empty for none.
-        :param min_clock: Lowest clock that a reply can show, in seconds.
+        :param min_clock: Lowest clock that the answer can show, in seconds.
         """
         order: dict[str, str | int] = {
             "task": task,
@@ -222,7 +223,7 @@
         :param task: Name of the task.
         :param run: Number of the run.
         :param fence: Fencing token of the sender.
-        :param min_clock: Lowest clock that a reply can show, in seconds.
+        :param min_clock: Lowest clock that the answer can show, in seconds.
         """
         return self._order(
             "/run-stop", {"task": task, "run": run, "fence": fence}, min_clock
@@ -243,7 +244,7 @@
         :param run: Number of the run.
         :param percent: The share, 0 to 100.
         :param fence: Fencing token of the sender.
-        :param min_clock: Lowest clock that a reply can show, in seconds.
+        :param min_clock: Lowest clock that the answer can show, in seconds.
         """
         return self._order(
             "/pace",
@@ -272,7 +273,7 @@
             answering, in seconds.
         :param timeout: Time added to the wait for the answer to arrive, in
             seconds.
-        :param min_clock: Lowest clock that a reply can show, in seconds.
+        :param min_clock: Lowest clock that the answer can show, in seconds.
         """
         if self._must_probe(self._holds):
             found = self._probe_incarnation(self._holds, fence, timeout)
@@ -322,7 +323,7 @@
     ) -> Report | Outcome:
         """Send a hold and decode the report.
 
-        :param min_clock: Lowest clock that a reply can show, in seconds.
+        :param min_clock: Lowest clock that the answer can show, in seconds.
         """
         raw = self._send(client, "/hold", order, timeout)
         if not isinstance(raw, connections.Answer) or raw.status != STATUS_OK:
@@ -445,7 +446,7 @@
 
     :param clock: The worker's clock in the answer, in seconds.
     :param raw: The answer.
-    :param min_clock: Lowest clock that the reply can show, in seconds.
+    :param min_clock: Lowest clock that the answer can show, in seconds.
     """
     if not 0 <= clock <= MAX_CLOCK_S:
         raise ValueError(f"steady clock out of range: {clock} s")
@@ -465,7 +466,7 @@
 
     :param raw: The answer.
     :param client: Client that received the answer.
-    :param min_clock: Lowest clock that the reply can show, in seconds.
+    :param min_clock: Lowest clock that the answer can show, in seconds.
     """
     if isinstance(raw, connections.NoAnswer):
         return raw
