--- a/src/rackvalve/manager/timing.py
+++ b/src/rackvalve/manager/timing.py
@@ -31,9 +31,9 @@
 # Allowed delay of the answer to a watch; a slow store takes 0.2 s.
 WATCH_SLACK_S = 0.6
 # Shorter for the owner's watches of jobs and workers: a store that loses its
-# history may leave watches unanswered (for 1.2 s), and until a
-# watch is answered the owner starts nothing and hands out no VM.  This costs
-# one process at most 13 calls a second, of some 800 of all processes.
+# history may leave watches unanswered for 1.2 s, and until one is answered the
+# owner starts nothing and hands out no VM.  This costs one process at most 13
+# calls a second, of some 800 of all processes.
 OWNER_WATCH_WAIT_S = 0.15
 OWNER_WATCH_SLACK_S = 0.35
 # The owner's slack grows with failures, so that an even slower store is heard.
@@ -194,7 +194,7 @@
 # times a second and 33 managers 660 times, where the store takes 1,200 write
 # and 6,000 read calls.  A caller whose key was just added waits at most this
 # much longer.
-COMPARISON_SPACING_S = 0.05
+REVALIDATION_SPACING_S = 0.05
 
 # -- failures --------------------------------------------------------------
 # Delay before a task of the process is restarted after an unexpected error: an
