--- a/src/rackvalve/requests/scheduler.py
+++ b/src/rackvalve/requests/scheduler.py
@@ -179,7 +179,7 @@
         if now >= job.deadline:
             return outcomes.Refused(
                 reason=outcomes.Reason.DEADLINE_PASSED,
-                retry_after=max(self.expect_wait(job), LEAST_RETRY_AFTER),
+                retry_after=max(self.estimate_wait(job), LEAST_RETRY_AFTER),
             )
         account = self._accounts[job.workspace]
         cost = self._predict(job)
@@ -273,7 +273,7 @@
         """
         return self._estimates.predict_high(job.workspace, job.job_class.value)
 
-    def expect_wait(self, job: jobs.Job) -> float:
+    def estimate_wait(self, job: jobs.Job) -> float:
         """Return the time until a new such job would start, in seconds.
 
         The lesser of two bounds: the time to work off all that waits in
@@ -311,7 +311,7 @@
     def _enqueue(
         self, account: queue.Account, job: jobs.Job, cost: float, now: float
     ) -> decisions.Waiting | outcomes.Refused:
-        wait = self.expect_wait(job)
+        wait = self.estimate_wait(job)
         retry_after = max(wait, LEAST_RETRY_AFTER)
         if self.waiting >= self._policy.queue_limit:
             return outcomes.Refused(
@@ -342,7 +342,7 @@
         *,
         first: bool,
     ) -> decisions.Waiting:
-        wait = self.expect_wait(job)
+        wait = self.estimate_wait(job)
         state = self._classes[job.job_class]
         if not state.queue and not state.running:
             other = self._classes[LONG if job.job_class is QUICK else QUICK]
@@ -464,7 +464,7 @@
             refused = outcomes.Refused(
                 reason=outcomes.Reason.DEADLINE_PASSED,
                 detail=f"{jobs.DEADLINE_HEADER}: passed while it waited",
-                retry_after=max(self.expect_wait(job), LEAST_RETRY_AFTER),
+                retry_after=max(self.estimate_wait(job), LEAST_RETRY_AFTER),
             )
             ended.append(decisions.Ended(job=job, refused=refused))
         return ended
--- a/tools/experiments/cores.py
+++ b/tools/experiments/cores.py
@@ -215,7 +215,7 @@
             return getattr(pool, name)
 
         def submit(self, job, at):
-            told[job.number] = pool.expect_wait(job)
+            told[job.number] = pool.estimate_wait(job)
             return submit(job, at)
 
     simulation.pool = Asking()
