--- a/src/rackvalve/entry/runner.py
+++ b/src/rackvalve/entry/runner.py
@@ -246,7 +246,7 @@
         left = max(job.deadline - self._clock(), 0.0)
         if job.repeatable and job.job_class is jobs.Class.QUICK:
             pool = self._dispatcher.admission.pools[job.pool]
-            high = pool.predict_limit(job)
+            high = pool.predict_high(job)
             if high is not None:
                 left = min(left, max(LIMIT_FACTOR * high, LIMIT_LEAST_S))
         return exchange.send(fresh=not job.repeatable, timeout=left)
--- a/src/rackvalve/requests/scheduler.py
+++ b/src/rackvalve/requests/scheduler.py
@@ -266,7 +266,7 @@
                 ended.append(decisions.Ended(job=job, refused=refused))
         return ended
 
-    def predict_limit(self, job: jobs.Job) -> float | None:
+    def predict_high(self, job: jobs.Job) -> float | None:
         """Return a run time that few such jobs exceed, in seconds.
 
         :param job: The job.
