--- a/src/rackvalve/entry/dispatcher.py
+++ b/src/rackvalve/entry/dispatcher.py
@@ -111,7 +111,7 @@
     message: messages.AttemptSilent, task: Dispatcher
 ) -> None:
     pool = task._admission.pools[message.started.job.pool]
-    pool.report_silence(message.started.attempt, task._clock())
+    pool.count_unanswered(message.started.attempt, task._clock())
 
 
 @handle.register
--- a/src/rackvalve/requests/scheduler.py
+++ b/src/rackvalve/requests/scheduler.py
@@ -213,7 +213,7 @@
         self._classes[job.job_class].running -= 1
         self._let_compete(run.account)
 
-    def report_silence(self, attempt: int, now: float) -> None:
+    def count_unanswered(self, attempt: int, now: float) -> None:
         """Count an unanswered attempt against its target's health.
 
         :param attempt: Number of the attempt, which keeps its slot.
@@ -221,7 +221,7 @@
         """
         run = self._runs.get(attempt)
         if run is not None:
-            self.board.report_silence(run.vm, now)
+            self.board.count_unanswered(run.vm, now)
 
     def cancel(self, job: jobs.Job) -> bool:
         """Take out a waiting job.
--- a/src/rackvalve/targets/board.py
+++ b/src/rackvalve/targets/board.py
@@ -274,7 +274,7 @@
         if target.in_use == 0 and target.allotment.share == 0:
             self._forget(target)
 
-    def report_silence(self, vm: str, now: float) -> None:
+    def count_unanswered(self, vm: str, now: float) -> None:
         """Count an attempt that stays unanswered, without its slot.
 
         :param vm: The target; nothing happens if it is unknown.
