--- a/src/rackvalve/entry/runner.py
+++ b/src/rackvalve/entry/runner.py
@@ -393,7 +393,7 @@
     It is a refusal only if no attempt of it reached a target.
     """
     if not reached:
-        retry_after = refused.retry_after or scheduler.LEAST_RETRY_AFTER
+        retry_after = refused.retry_after or scheduler.MIN_RETRY_AFTER_S
         return dataclasses.replace(refused, retry_after=retry_after)
     if isinstance(result, senders.Broken):
         return outcomes.Unknown(reason=result.reason, detail=result.detail)
--- a/src/rackvalve/requests/admission.py
+++ b/src/rackvalve/requests/admission.py
@@ -131,7 +131,7 @@
         refused = outcomes.Refused(
             reason=outcomes.Reason.STOPPING,
             detail="this entry is leaving; another one serves",
-            retry_after=scheduler.LEAST_RETRY_AFTER,
+            retry_after=scheduler.MIN_RETRY_AFTER_S,
         )
         return [
             ended
@@ -147,7 +147,7 @@
         if self._stopping:
             return outcomes.Refused(
                 reason=outcomes.Reason.STOPPING,
-                retry_after=scheduler.LEAST_RETRY_AFTER,
+                retry_after=scheduler.MIN_RETRY_AFTER_S,
             )
         if self._view is None:
             return outcomes.Refused(
--- a/src/rackvalve/requests/scheduler.py
+++ b/src/rackvalve/requests/scheduler.py
@@ -28,7 +28,7 @@
 QUICK = jobs.Class.QUICK
 LONG = jobs.Class.LONG
 LEAST_WEIGHT = 1e-3
-LEAST_RETRY_AFTER = 0.05
+MIN_RETRY_AFTER_S = 0.05
 NO_TARGET_RETRY = 1.0
 WAIT_MARGIN = 1.25
 
@@ -179,7 +179,7 @@
         if now >= job.deadline:
             return outcomes.Refused(
                 reason=outcomes.Reason.DEADLINE_PASSED,
-                retry_after=max(self.estimate_wait(job), LEAST_RETRY_AFTER),
+                retry_after=max(self.estimate_wait(job), MIN_RETRY_AFTER_S),
             )
         account = self._accounts[job.workspace]
         cost = self._predict(job)
@@ -312,7 +312,7 @@
         self, account: queue.Account, job: jobs.Job, cost: float, now: float
     ) -> decisions.Waiting | outcomes.Refused:
         wait = self.estimate_wait(job)
-        retry_after = max(wait, LEAST_RETRY_AFTER)
+        retry_after = max(wait, MIN_RETRY_AFTER_S)
         if self.waiting >= self._policy.queue_limit:
             return outcomes.Refused(
                 reason=outcomes.Reason.QUEUE_FULL,
@@ -464,7 +464,7 @@
             refused = outcomes.Refused(
                 reason=outcomes.Reason.DEADLINE_PASSED,
                 detail=f"{jobs.DEADLINE_HEADER}: passed while it waited",
-                retry_after=max(self.estimate_wait(job), LEAST_RETRY_AFTER),
+                retry_after=max(self.estimate_wait(job), MIN_RETRY_AFTER_S),
             )
             ended.append(decisions.Ended(job=job, refused=refused))
         return ended
