--- a/src/rackvalve/requests/admission.py
+++ b/src/rackvalve/requests/admission.py
@@ -153,7 +153,7 @@
             return outcomes.Refused(
                 reason=outcomes.Reason.NOT_CONFIGURED,
                 detail="no configuration has been accepted here yet",
-                retry_after=scheduler.NO_TARGET_RETRY,
+                retry_after=scheduler.NO_TARGET_RETRY_AFTER_S,
             )
         configuration = self._view.configuration
         workspace = configuration.workspaces.get(job.workspace)
--- a/src/rackvalve/requests/scheduler.py
+++ b/src/rackvalve/requests/scheduler.py
@@ -29,7 +29,7 @@
 LONG = jobs.Class.LONG
 LEAST_WEIGHT = 1e-3
 MIN_RETRY_AFTER_S = 0.05
-NO_TARGET_RETRY = 1.0
+NO_TARGET_RETRY_AFTER_S = 1.0
 WAIT_MARGIN = 1.25
 
 
@@ -157,7 +157,7 @@
             return outcomes.Refused(
                 reason=outcomes.Reason.NO_TARGET,
                 detail=f"{jobs.POOL_HEADER}: no target serves it here",
-                retry_after=NO_TARGET_RETRY,
+                retry_after=NO_TARGET_RETRY_AFTER_S,
             )
         cost = self._predict(job)
         # A job overtakes those that wait only if none of them may start.
