--- a/src/rackvalve/entry/servicer.py
+++ b/src/rackvalve/entry/servicer.py
@@ -110,7 +110,7 @@
             return rackvalve_pb2.ClaimAnswer(
                 reason=outcomes.Reason.OWNER_UNREACHABLE.value,
                 detail="Idempotency-Key: its owner is not ready",
-                retry_after_s=keys.RETRY_AFTER_CHANGE,
+                retry_after_s=keys.OWNER_CHANGE_RETRY_AFTER_S,
             )
         claim = self._registry.claim(
             view.hall.division,
--- a/src/rackvalve/requests/keys.py
+++ b/src/rackvalve/requests/keys.py
@@ -27,7 +27,7 @@
 
 UUID_VERSION = 7
 TIMESTAMP_SHIFT = 80
-RETRY_AFTER_CHANGE = 1.0
+OWNER_CHANGE_RETRY_AFTER_S = 1.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
@@ -202,7 +202,7 @@
             return _refuse(
                 outcomes.Reason.OWNER_UNREACHABLE,
                 "changes its owner now",
-                RETRY_AFTER_CHANGE,
+                OWNER_CHANGE_RETRY_AFTER_S,
             )
         # Each division that the key has lived under must have named us.
         margin = 2 * self._policy.skew
