--- a/src/rackvalve/requests/estimates.py
+++ b/src/rackvalve/requests/estimates.py
@@ -9,7 +9,7 @@
 import math
 
 UNKNOWN_RUN = 0.05
-LEAST_RUN = 1e-4
+MIN_RUN_S = 1e-4
 MEAN_WEIGHT = 0.1
 HIGH_QUANTILE = 0.95
 HIGH_STEP = 0.2
@@ -31,7 +31,7 @@
 
         :param run: Its length, in seconds.
         """
-        run = max(run, LEAST_RUN)
+        run = max(run, MIN_RUN_S)
         self.count += 1
         weight = max(MEAN_WEIGHT, 1.0 / self.count)
         self.mean += weight * (run - self.mean)
@@ -40,7 +40,7 @@
         step = HIGH_STEP if self.count > OBSERVATIONS_TO_TRUST else 1.0
         if run > self.high:
             self.high *= math.exp(step * HIGH_QUANTILE)
-            self.high = min(self.high, max(run, LEAST_RUN))
+            self.high = min(self.high, max(run, MIN_RUN_S))
         else:
             self.high *= math.exp(-step * (1.0 - HIGH_QUANTILE))
 
@@ -66,7 +66,7 @@
         if stream is not None and stream.count >= OBSERVATIONS_TO_TRUST:
             return stream.mean
         if declared is not None:
-            return max(declared, LEAST_RUN)
+            return max(declared, MIN_RUN_S)
         return stream.mean if stream is not None else UNKNOWN_RUN
 
     def is_trusted(self, workspace: str, job_class: str) -> bool:
@@ -99,6 +99,6 @@
         """
         stream = self._streams.get((workspace, job_class))
         if stream is None:
-            stream = Estimate(max(run, LEAST_RUN))
+            stream = Estimate(max(run, MIN_RUN_S))
             self._streams[workspace, job_class] = stream
         stream.observe(run)
--- a/src/rackvalve/requests/scheduler.py
+++ b/src/rackvalve/requests/scheduler.py
@@ -203,7 +203,7 @@
         length = max(now - run.started, 0.0)
         slowness = None
         if run.trusted:
-            slowness = length / max(run.cost, estimates.LEAST_RUN)
+            slowness = length / max(run.cost, estimates.MIN_RUN_S)
         self.board.release(run.vm, result, slowness, now)
         if result is boards.Result.GOOD:
             self._estimates.observe(job.workspace, job.job_class.value, length)
