--- a/src/rackvalve/requests/estimates.py
+++ b/src/rackvalve/requests/estimates.py
@@ -8,7 +8,7 @@
 
 import math
 
-UNKNOWN_RUN = 0.05
+DEFAULT_RUN_S = 0.05
 MIN_RUN_S = 1e-4
 MEAN_WEIGHT = 0.1
 HIGH_QUANTILE = 0.95
@@ -67,7 +67,7 @@
             return stream.mean
         if declared is not None:
             return max(declared, MIN_RUN_S)
-        return stream.mean if stream is not None else UNKNOWN_RUN
+        return stream.mean if stream is not None else DEFAULT_RUN_S
 
     def is_trusted(self, workspace: str, job_class: str) -> bool:
         """Return whether predictions rest on what was observed.
