--- a/src/rackvalve/requests/admission.py
+++ b/src/rackvalve/requests/admission.py
@@ -283,7 +283,7 @@
         )
 
     def _apply_pools(self, view: View) -> list[decisions.Ended]:
-        rights = compute_rights(view.hall, self._entry)
+        rights = compute_allotments(view.hall, self._entry)
         ended: list[decisions.Ended] = []
         for name, policy in view.configuration.pools.items():
             pool = self._pools.get(name)
@@ -323,7 +323,7 @@
 )
 
 
-def compute_rights(
+def compute_allotments(
     hall: record.Hall, entry: str
 ) -> dict[str, dict[str, boards.Allotment]]:
     """Return an entry's rights on targets, by pool and VM.
