--- a/src/rackvalve/requests/admission.py
+++ b/src/rackvalve/requests/admission.py
@@ -136,7 +136,7 @@
         return [
             ended
             for pool in self._pools.values()
-            for ended in pool.end_all(refused)
+            for ended in pool.refuse_waiting(refused)
         ]
 
     def check(self, job: jobs.Job) -> outcomes.Refused | None:
@@ -296,7 +296,7 @@
         for name, pool in self._pools.items():
             pool.board.update(rights.get(name, {}))
             if name not in view.configuration.pools:
-                ended.extend(pool.end_all(_POOL_REMOVED))
+                ended.extend(pool.refuse_waiting(_POOL_REMOVED))
         self._apply_workspaces(view)
         return ended
 
--- a/src/rackvalve/requests/scheduler.py
+++ b/src/rackvalve/requests/scheduler.py
@@ -254,7 +254,7 @@
                 return taken
             taken.append(started)
 
-    def end_all(self, refused: outcomes.Refused) -> list[decisions.Ended]:
+    def refuse_waiting(self, refused: outcomes.Refused) -> list[decisions.Ended]:
         """Refuse all waiting jobs, when the pool is taken away.
 
         :param refused: The refusal.
