--- a/src/rackvalve/requests/queue.py
+++ b/src/rackvalve/requests/queue.py
@@ -98,9 +98,9 @@
         self.cost += cost
         self._size += 1
         account.waiting += 1
-        self.enter(account)
+        self.activate(account)
 
-    def enter(self, account: Account) -> None:
+    def activate(self, account: Account) -> None:
         """Let a workspace's flow compete at its present virtual time.
 
         :param account: Its account, after a change of time or quota use.
@@ -125,7 +125,7 @@
                 if flow.account.has_room():
                     if flow.account.time <= time:
                         return flow.account
-                    self.enter(flow.account)
+                    self.activate(flow.account)
                 else:
                     flow.ticket = 0
             heapq.heappop(self._heap)
--- a/src/rackvalve/requests/scheduler.py
+++ b/src/rackvalve/requests/scheduler.py
@@ -412,7 +412,7 @@
 
     def _let_compete(self, account: queue.Account) -> None:
         for state in self._classes.values():
-            state.queue.enter(account)
+            state.queue.activate(account)
 
     def _choose_class(self) -> _ClassState | None:
         quick = self._classes[QUICK]
