--- a/features/scheduling_history.py
+++ b/features/scheduling_history.py
@@ -34,8 +34,8 @@
 class IdleScheduler(scheduler.PoolScheduler):
     """Naive: starts waiting jobs only one at a time."""
 
-    def collect(self, now):
-        return super().collect(now) if self.running == 0 else []
+    def dispatch(self, now):
+        return super().dispatch(now) if self.running == 0 else []
 
 
 class ForgetfulScheduler(scheduler.PoolScheduler):
@@ -107,7 +107,7 @@
             self._cancel(index)
         elif action == "wait":
             self.now += 2.0
-            self._note(self.pool.collect(self.now))
+            self._note(self.pool.dispatch(self.now))
         elif action == "retry" and self.running:
             self._retry(index)
 
@@ -134,7 +134,7 @@
         started = self.running.pop(attempt)
         self.state[started.job.number] = "done"
         self.pool.finish(attempt, result, self.now)
-        self._note(self.pool.collect(self.now))
+        self._note(self.pool.dispatch(self.now))
 
     def _retry(self, index):
         if not hasattr(self.pool, "retry"):
@@ -148,7 +148,7 @@
             self._note([reply])
         elif isinstance(reply, outcomes.Refused):
             self.state[started.job.number] = "refused"
-        self._note(self.pool.collect(self.now))
+        self._note(self.pool.dispatch(self.now))
 
     def _cancel(self, index):
         waiting = [n for n, state in self.state.items() if state == "waiting"]
--- a/features/steps/scheduling_steps.py
+++ b/features/steps/scheduling_steps.py
@@ -219,7 +219,7 @@
 def let_pass(context, seconds, passed):
     submit_deadline(context, seconds)
     assert isinstance(context.reply, decisions.Waiting), context.reply
-    context.found = context.pool.collect(passed)
+    context.found = context.pool.dispatch(passed)
 
 
 @behave.then('it ends for "{reason}" and never starts')
@@ -228,7 +228,7 @@
     assert context.found[0].refused.reason.value == reason
     attempt = context.first.attempt
     context.pool.finish(attempt, boards.Result.GOOD, 7.0)
-    assert context.pool.collect(7.0) == []
+    assert context.pool.dispatch(7.0) == []
 
 
 @behave.given("a pool whose queue holds {count:d} jobs")
--- a/src/rackvalve/entry/dispatcher.py
+++ b/src/rackvalve/entry/dispatcher.py
@@ -54,7 +54,7 @@
         self._notify = notify
 
     def _collect(self, pool: str, now: float) -> None:
-        for decision in self._admission.collect(pool, now):
+        for decision in self._admission.dispatch(pool, now):
             self._deliver(decision)
 
     def _deliver(self, decision: decisions.Started | decisions.Ended) -> None:
--- a/src/rackvalve/requests/admission.py
+++ b/src/rackvalve/requests/admission.py
@@ -232,7 +232,7 @@
         """
         self._pools[pool].finish(attempt, result, now)
 
-    def collect(
+    def dispatch(
         self, pool: str, now: float
     ) -> list[decisions.Started | decisions.Ended]:
         """Start a pool's jobs that may start, and end those too late.
@@ -241,7 +241,7 @@
         :param now: Present time, in seconds.
         """
         found = self._pools[pool]
-        return found.collect(now) if found.waiting else []
+        return found.dispatch(now) if found.waiting else []
 
     def count_excess(self) -> int:
         """Count the targets on which more is in use than rights allow."""
--- a/src/rackvalve/requests/scheduler.py
+++ b/src/rackvalve/requests/scheduler.py
@@ -233,7 +233,7 @@
         state = self._classes[job.job_class]
         return state.queue.remove(job.workspace, job.number)
 
-    def collect(self, now: float) -> list[decisions.Decision]:
+    def dispatch(self, now: float) -> list[decisions.Decision]:
         """Start all jobs that may start, and end those that are too late.
 
         :param now: Present time, in seconds.
--- a/tools/baselines/fifo.py
+++ b/tools/baselines/fifo.py
@@ -33,7 +33,7 @@
     def submit(self, job, now):
         """Queue a job, and start what fits."""
         self._queue[job.number] = job
-        started = self.collect(now)
+        started = self.dispatch(now)
         for decision in started:
             if decision.job.number == job.number:
                 return decision
@@ -48,7 +48,7 @@
         """Take out a waiting job."""
         return self._queue.pop(job.number, None) is not None
 
-    def collect(self, now):
+    def dispatch(self, now):
         """Start the oldest jobs while a slot is free."""
         started = []
         while self._queue:
--- a/tools/poolsim.py
+++ b/tools/poolsim.py
@@ -86,7 +86,7 @@
             else:
                 self.freed_at.append(now)
                 self.pool.finish(value, boards.Result.GOOD, now)
-                self._start_all(self.pool.collect(now), now)
+                self._start_all(self.pool.dispatch(now), now)
         return self
 
     def _push(self, when, kind, value):
