--- a/src/rackvalve/requests/queue.py
+++ b/src/rackvalve/requests/queue.py
@@ -25,7 +25,7 @@
     :param quota: Most slots in use at once, ``None`` for no limit.
     """
 
-    __slots__ = ("workspace", "weight", "quota", "running", "waiting", "time")
+    __slots__ = ("workspace", "weight", "quota", "running", "waiting", "virtual_time")
 
     def __init__(
         self, workspace: str, weight: float, quota: int | None
@@ -35,7 +35,7 @@
         self.quota = quota
         self.running = 0
         self.waiting = 0
-        self.time = 0.0
+        self.virtual_time = 0.0
 
     def has_room(self) -> bool:
         """Return whether the quota allows one more slot."""
@@ -111,7 +111,7 @@
         self._tickets += 1
         flow.ticket = self._tickets
         heapq.heappush(
-            self._heap, (account.time, flow.ticket, account.workspace)
+            self._heap, (account.virtual_time, flow.ticket, account.workspace)
         )
         if len(self._heap) > 2 * len(self._flows) + 64:
             self._compact()
@@ -123,7 +123,7 @@
             flow = self._flows.get(workspace)
             if flow is not None and flow.ticket == ticket and flow.jobs:
                 if flow.account.has_room():
-                    if flow.account.time <= time:
+                    if flow.account.virtual_time <= time:
                         return flow.account
                     self.activate(flow.account)
                 else:
--- a/src/rackvalve/requests/scheduler.py
+++ b/src/rackvalve/requests/scheduler.py
@@ -60,12 +60,12 @@
 class _ClassState:
     """One class's queue, use and virtual time."""
 
-    __slots__ = ("queue", "running", "time")
+    __slots__ = ("queue", "running", "virtual_time")
 
     def __init__(self) -> None:
         self.queue = queue.FairQueue()
         self.running = 0
-        self.time = 0.0
+        self.virtual_time = 0.0
 
 
 class PoolScheduler:
@@ -346,7 +346,7 @@
         state = self._classes[job.job_class]
         if not state.queue and not state.running:
             other = self._classes[LONG if job.job_class is QUICK else QUICK]
-            state.time = max(state.time, other.time)
+            state.virtual_time = max(state.virtual_time, other.virtual_time)
         self._wake(account)
         state.queue.push(account, job, cost, first=first)
         self._tickets += 1
@@ -371,7 +371,7 @@
             return None
         target = choice.target
         self._wake(account)
-        self._clock = max(self._clock, account.time)
+        self._clock = max(self._clock, account.virtual_time)
         self._charge(job, account, cost)
         account.running += 1
         self._classes[job.job_class].running += 1
@@ -399,16 +399,16 @@
 
     def _wake(self, account: queue.Account) -> None:
         if not account.waiting and not account.running:
-            account.time = max(account.time, self._clock)
+            account.virtual_time = max(account.virtual_time, self._clock)
 
     def _charge(
         self, job: jobs.Job, account: queue.Account, run: float
     ) -> None:
-        account.time += run / account.weight
+        account.virtual_time += run / account.weight
         guaranteed = self._policy.long_guaranteed
         weight = guaranteed if job.job_class is LONG else 1.0 - guaranteed
         state = self._classes[job.job_class]
-        state.time += run / max(weight, LEAST_WEIGHT)
+        state.virtual_time += run / max(weight, LEAST_WEIGHT)
 
     def _let_compete(self, account: queue.Account) -> None:
         for state in self._classes.values():
@@ -423,7 +423,7 @@
             if self._has_class_slot(job_class) and state.queue.peek()
         ]
         if len(ready) == 2:
-            return long if long.time < quick.time else quick
+            return long if long.virtual_time < quick.virtual_time else quick
         return ready[0] if ready else None
 
     def _has_class_slot(self, job_class: jobs.Class) -> bool:
