--- a/src/rackvalve/requests/__init__.py
+++ b/src/rackvalve/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Requests: their fields, queueing, scheduling, and idempotency keys."""
+"""Request headers, queueing, scheduling and idempotency keys."""
--- a/src/rackvalve/requests/decisions.py
+++ b/src/rackvalve/requests/decisions.py
@@ -1,4 +1,7 @@
-"""Decisions about jobs: a start on a target, a wait, or an end."""
+"""Decisions of the scheduler about jobs: started, waiting or ended.
+
+The entry's dispatcher carries them out.  A job here is one request.
+"""
 
 from __future__ import annotations
 
@@ -14,15 +17,15 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Started:
-    """A job has a slot on a target.
+    """A job got a slot on a target.
 
     :param job: The job.
     :param attempt: Number of this attempt within the pool.
     :param vm: Identity of the target.
     :param host: IP number of the target.
     :param port: Port of the target.
-    :param waited: Time from its arrival to this start, in seconds.
-    :param expected_run: Run time to expect, in seconds.
+    :param waited: Time from arrival to this start, in seconds.
+    :param expected_run: Expected run time, in seconds.
     :param choice: How the target was chosen.
     """
 
@@ -38,10 +41,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Waiting:
-    """A job waits.
+    """A job waits in the queue.
 
     :param job: The job.
-    :param expected_wait: Time until its start, in seconds, as expected.
+    :param expected_wait: Expected time until its start, in seconds.
     """
 
     job: jobs.Job
@@ -50,7 +53,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Ended:
-    """A job that waited is refused.
+    """A waiting job is refused.
 
     :param job: The job.
     :param refused: The refusal.
--- a/src/rackvalve/requests/estimates.py
+++ b/src/rackvalve/requests/estimates.py
@@ -1,7 +1,7 @@
-"""Run times observed by pool, workspace and class.
+"""Run time estimates of one pool by workspace and class.
 
-What a caller declares is a hint for the first requests only; what was
-observed overrides it.
+The pool's scheduler uses them.  A run time that the caller declares counts
+for the first requests only; observed run times override it.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
         self.high = first
 
     def observe(self, run: float) -> None:
-        """Learn from one run.
+        """Add one observed run time.
 
-        :param run: Its length, in seconds.
+        :param run: Run time, in seconds.
         """
         run = max(run, MIN_RUN_S)
         self.count += 1
         weight = max(MEAN_WEIGHT, 1.0 / self.count)
         self.mean += weight * (run - self.mean)
-        # The quantile moves by a fixed ratio a step, up more than down, so
-        # that it settles where the share of greater runs is 1 - quantile.
+        # The quantile moves by a fixed ratio per step, more up than down, so
+        # that it converges where the share of longer runs is 1 - quantile.
         step = HIGH_STEP if self.count > OBSERVATIONS_TO_TRUST else 1.0
         if run > self.high:
             self.high *= math.exp(step * HIGH_QUANTILE)
@@ -56,11 +56,12 @@
     def predict(
         self, workspace: str, job_class: str, declared: float | None
     ) -> float:
-        """Return the run time to expect, in seconds.
+        """Return the expected run time, in seconds.
 
         :param workspace: Name of the workspace.
         :param job_class: Name of the class.
-        :param declared: What the caller declared, in seconds, or ``None``.
+        :param declared: Run time that the caller declared, in seconds, or
+            ``None``.
         """
         stream = self._streams.get((workspace, job_class))
         if stream is not None and stream.count >= OBSERVATIONS_TO_TRUST:
@@ -70,7 +71,7 @@
         return stream.mean if stream is not None else DEFAULT_RUN_S
 
     def is_trusted(self, workspace: str, job_class: str) -> bool:
-        """Return whether predictions rest on what was observed.
+        """Return whether enough runs were observed to predict from them.
 
         :param workspace: Name of the workspace.
         :param job_class: Name of the class.
@@ -83,7 +84,7 @@
 
         :param workspace: Name of the workspace.
         :param job_class: Name of the class.
-        :return: ``None`` until enough has been observed.
+        :return: The run time; ``None`` until enough runs were observed.
         """
         stream = self._streams.get((workspace, job_class))
         if stream is None or stream.count < OBSERVATIONS_TO_TRUST:
--- a/src/rackvalve/requests/queue.py
+++ b/src/rackvalve/requests/queue.py
@@ -1,10 +1,11 @@
-"""Weighted fair queue of one class of a pool's waiting jobs.
-
-Start-time fair queueing over workspaces: each account has a virtual time
-that advances by the run time it was given, divided by its weight; the
-waiting account with the smallest virtual time is next.  A workspace that
-was idle starts at the clock of the pool and gathers no credit.  Removing a
-job takes constant time, whatever the number waiting.
+"""Weighted fair queue of the waiting jobs of one class in one pool.
+
+The pool's scheduler uses it for start-time fair queueing over workspaces:
+each account has a virtual time that advances by the run time charged to it,
+divided by its weight; the waiting account with the smallest virtual time is
+next.  A workspace that was idle starts at the virtual clock of the pool, so
+that idle time earns no credit.  Removing a job takes constant time, however
+many jobs wait.
 """
 
 from __future__ import annotations
@@ -18,14 +19,21 @@
 
 
 class Account:
-    """What one workspace has used of a pool.
+    """Usage of a pool by one workspace.
 
     :param workspace: Name of the workspace.
     :param weight: Weight of its share.
-    :param quota: Most slots in use at once, ``None`` for no limit.
+    :param quota: Maximum of slots in use at once, ``None`` for no limit.
     """
 
-    __slots__ = ("workspace", "weight", "quota", "running", "waiting", "virtual_time")
+    __slots__ = (
+        "workspace",
+        "weight",
+        "quota",
+        "running",
+        "waiting",
+        "virtual_time",
+    )
 
     def __init__(
         self, workspace: str, weight: float, quota: int | None
@@ -38,14 +46,14 @@
         self.virtual_time = 0.0
 
     def has_room(self) -> bool:
-        """Return whether the quota allows one more slot."""
+        """Return whether the quota allows another slot."""
         return self.quota is None or self.running < self.quota
 
 
 class _Flow:
-    """One workspace's waiting jobs of one class."""
+    """Waiting jobs of one workspace and class."""
 
-    __slots__ = ("account", "jobs", "cost", "ticket")
+    __slots__ = ("account", "jobs", "cost", "sequence")
 
     def __init__(self, account: Account) -> None:
         self.account = account
@@ -53,23 +61,23 @@
             collections.OrderedDict()
         )
         self.cost = 0.0
-        # Number of the one heap entry of this flow that counts; 0 for none.
-        self.ticket = 0
+        # Sequence number of this flow's valid heap entry; 0 for none.
+        self.sequence = 0
 
 
 class FairQueue:
-    """Waiting jobs of one class."""
+    """Fair queue of the waiting jobs of one class."""
 
-    __slots__ = ("_flows", "_heap", "_tickets", "_size", "cost", "weight")
+    __slots__ = ("_flows", "_heap", "_sequence", "_size", "cost", "weight")
 
     def __init__(self) -> None:
         self._flows: dict[str, _Flow] = {}
         self._heap: list[tuple[float, int, str]] = []
-        self._tickets = 0
+        self._sequence = 0
         self._size = 0
-        # Sum of the expected run times that wait, in seconds.
+        # Sum of the expected run times of the waiting jobs, in seconds.
         self.cost = 0.0
-        # Sum of the weights of the workspaces that wait.
+        # Sum of the weights of the workspaces with waiting jobs.
         self.weight = 0.0
 
     def __len__(self) -> int:
@@ -78,7 +86,7 @@
     def push(
         self, account: Account, job: jobs.Job, cost: float, *, first: bool
     ) -> None:
-        """Let a job wait.
+        """Add a waiting job.
 
         :param account: Account of its workspace.
         :param job: The job.
@@ -101,51 +109,56 @@
         self.activate(account)
 
     def activate(self, account: Account) -> None:
-        """Let a workspace's flow compete at its present virtual time.
+        """Push a heap entry for a workspace at its current virtual time.
+
+        Does nothing if no job of the workspace waits or its quota is used up.
 
-        :param account: Its account, after a change of time or quota use.
+        :param account: Its account, after a change of virtual time or of
+            slots in use.
         """
         flow = self._flows.get(account.workspace)
         if flow is None or not flow.jobs or not account.has_room():
             return
-        self._tickets += 1
-        flow.ticket = self._tickets
+        self._sequence += 1
+        flow.sequence = self._sequence
         heapq.heappush(
-            self._heap, (account.virtual_time, flow.ticket, account.workspace)
+            self._heap,
+            (account.virtual_time, flow.sequence, account.workspace),
         )
         if len(self._heap) > 2 * len(self._flows) + 64:
-            self._compact()
+            self._compact_heap()
 
     def peek(self) -> Account | None:
-        """Return the account that is next, ``None`` if none may start."""
+        """Return the next account, ``None`` if no job may start."""
         while self._heap:
-            time, ticket, workspace = self._heap[0]
+            time, sequence, workspace = self._heap[0]
             flow = self._flows.get(workspace)
-            if flow is not None and flow.ticket == ticket and flow.jobs:
+            if flow is not None and flow.sequence == sequence and flow.jobs:
                 if flow.account.has_room():
                     if flow.account.virtual_time <= time:
                         return flow.account
                     self.activate(flow.account)
                 else:
-                    flow.ticket = 0
+                    flow.sequence = 0
             heapq.heappop(self._heap)
         return None
 
     def pop(self) -> tuple[Account, jobs.Job, float] | None:
-        """Take the next job.
+        """Remove and return the next job.
 
-        :return: Its account, the job and its expected run time in seconds.
+        :return: Its account, the job and its expected run time in seconds;
+            ``None`` if no job may start.
         """
         account = self.peek()
         if account is None:
             return None
         flow = self._flows[account.workspace]
         number, (job, cost) = next(iter(flow.jobs.items()))
-        self._drop(flow, number, cost)
+        self._remove_job(flow, number, cost)
         return account, job, cost
 
     def remove(self, workspace: str, number: int) -> bool:
-        """Take out one job.
+        """Remove one job.
 
         :param workspace: Its workspace.
         :param number: Its number.
@@ -154,22 +167,23 @@
         flow = self._flows.get(workspace)
         if flow is None or number not in flow.jobs:
             return False
-        self._drop(flow, number, flow.jobs[number][1])
+        self._remove_job(flow, number, flow.jobs[number][1])
         return True
 
     def reweigh(self, workspace: str, change: float) -> None:
-        """Take a change of a workspace's weight into the sum of weights.
+        """Apply a change of a workspace's weight to the sum of weights.
 
         :param workspace: Name of the workspace.
-        :param change: New weight less old weight.
+        :param change: New weight minus old weight.
         """
         if workspace in self._flows:
             self.weight += change
 
     def get_backlog(self, workspace: str) -> float:
-        """Return the run time that a workspace has waiting, in seconds.
+        """Return the expected run time of a workspace's waiting jobs.
 
         :param workspace: Name of the workspace.
+        :return: The sum, in seconds.
         """
         flow = self._flows.get(workspace)
         return flow.cost if flow is not None else 0.0
@@ -181,7 +195,7 @@
             flow.jobs.values()
         ]  # fmt: skip
 
-    def _drop(self, flow: _Flow, number: int, cost: float) -> None:
+    def _remove_job(self, flow: _Flow, number: int, cost: float) -> None:
         del flow.jobs[number]
         flow.cost -= cost
         flow.account.waiting -= 1
@@ -191,15 +205,15 @@
             self.weight -= flow.account.weight
             del self._flows[flow.account.workspace]
         if self._size == 0:
-            # Sums of floats drift; an empty queue is exactly zero.
+            # The float sums gather rounding errors; an empty queue is zero.
             self.cost = 0.0
             self.weight = 0.0
 
-    def _compact(self) -> None:
+    def _compact_heap(self) -> None:
         self._heap = [
             entry
             for entry in self._heap
             if entry[2] in self._flows
-            and self._flows[entry[2]].ticket == entry[1]
+            and self._flows[entry[2]].sequence == entry[1]
         ]
         heapq.heapify(self._heap)
