--- a/src/rackvalve/requests/admission.py
+++ b/src/rackvalve/requests/admission.py
@@ -1,7 +1,7 @@
-"""Admission of requests at one entry, under the accepted documents.
+"""Admission of requests at one entry, as the accepted documents allow.
 
-Holds a scheduler for each pool and applies configuration and hall records
-to them.  A lower revision is never taken.
+The entry's dispatcher uses it.  It has a scheduler for each pool and applies
+configuration and hall records to them; a lower revision is never applied.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class View:
-    """The accepted documents that are in force at an entry.
+    """Accepted documents in force at an entry.
 
     :param configuration: The operators' configuration.
-    :param configuration_revision: Its revision.
+    :param configuration_revision: Revision of the configuration.
     :param hall: Record of the entry's hall.
-    :param hall_revision: Its revision.
+    :param hall_revision: Revision of the hall record.
     """
 
     configuration: document.Configuration
@@ -43,13 +43,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Acknowledgement:
-    """What an entry can acknowledge at present.
-
-    :param configuration_revision: Configuration in force; 0 for none.
-    :param hall_revision: Hall record in force; 0 for none.
-    :param busy: Targets in use without any right.
-    :param excess: Targets in use beyond the share.
-    :param unhealthy: Targets without work because of failures.
+    """Documents in force and target states that an entry reports.
+
+    :param configuration_revision: Revision of the configuration in force;
+        0 for none.
+    :param hall_revision: Revision of the hall record in force; 0 for none.
+    :param busy: Targets in use without a share.
+    :param excess: Targets in use beyond their share.
+    :param unhealthy: Targets ejected because of failures.
     """
 
     configuration_revision: int
@@ -61,7 +62,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Counts:
-    """How many jobs and targets are in which state.
+    """Numbers of jobs and targets by state.
 
     :param waiting: Jobs in queues.
     :param running: Jobs on targets.
@@ -74,7 +75,7 @@
 
 
 class Admission:
-    """All pools of one entry.
+    """Admission control for all pools of one entry.
 
     :param entry: Identity of the entry's VM.
     :param policy: When targets are ejected.
@@ -110,27 +111,27 @@
         return self._pools
 
     def apply(self, view: View) -> list[decisions.Ended]:
-        """Put newer documents in force.
+        """Apply newer documents.
 
-        :param view: The documents; what is older than that in force is
-            left out.
+        :param view: The documents; one that is older than that in force is
+            ignored.
         :return: Waiting jobs that the change ends.
         """
         known = self._view
         if known is not None:
-            view = _merge(known, view)
+            view = _merge_views(known, view)
         self._view = view
         return self._apply_pools(view)
 
     def stop(self) -> list[decisions.Ended]:
-        """Refuse new jobs and those that wait, on a planned stop.
+        """Refuse new and waiting jobs from now on, for a planned stop.
 
         :return: The waiting jobs, refused.
         """
         self._stopping = True
         refused = outcomes.Refused(
             reason=outcomes.Reason.STOPPING,
-            detail="this entry is leaving; another one serves",
+            detail="this entry is stopping; send the request to another entry",
             retry_after=scheduler.MIN_RETRY_AFTER_S,
         )
         return [
@@ -152,7 +153,7 @@
         if self._view is None:
             return outcomes.Refused(
                 reason=outcomes.Reason.NOT_CONFIGURED,
-                detail="no configuration has been accepted here yet",
+                detail="this entry has not accepted a configuration yet",
                 retry_after=scheduler.NO_TARGET_RETRY_AFTER_S,
             )
         configuration = self._view.configuration
@@ -160,17 +161,17 @@
         if workspace is None:
             return outcomes.Refused(
                 reason=outcomes.Reason.WORKSPACE_UNKNOWN,
-                detail=f"{jobs.WORKSPACE_HEADER}: unknown",
+                detail=f"{jobs.WORKSPACE_HEADER}: not in the configuration",
             )
         if job.pool not in configuration.pools:
             return outcomes.Refused(
                 reason=outcomes.Reason.POOL_UNKNOWN,
-                detail=f"{jobs.POOL_HEADER}: unknown",
+                detail=f"{jobs.POOL_HEADER}: not in the configuration",
             )
         if job.pool not in workspace.pools:
             return outcomes.Refused(
                 reason=outcomes.Reason.POOL_FORBIDDEN,
-                detail=f"{jobs.POOL_HEADER}: not paid for by this workspace",
+                detail=f"{jobs.POOL_HEADER}: not allowed for this workspace",
             )
         return None
 
@@ -191,12 +192,12 @@
     def retry(
         self, job: jobs.Job, tried: Collection[str], now: float
     ) -> decisions.Admission | None:
-        """Start a job again on another target, if its pool's budget allows.
+        """Retry a job on another target, if its pool's retry budget allows.
 
         :param job: The job, whose last attempt is finished.
-        :param tried: Targets that it has tried.
+        :param tried: Targets that the job has tried.
         :param now: Present time, in seconds.
-        :return: ``None`` if there is no other target or no budget.
+        :return: ``None`` if there is no other target or no retry budget.
         """
         pool = self._pools[job.pool]
         others = any(
@@ -210,12 +211,12 @@
     def reroute(
         self, job: jobs.Job, tried: Collection[str], now: float
     ) -> decisions.Admission:
-        """Start a job on another target after one could not be reached.
+        """Start a job on another target after one was unreachable.
 
-        No byte was sent, so that no budget is needed.
+        No byte was sent, so this takes nothing from the retry budget.
 
         :param job: The job, whose last attempt is finished.
-        :param tried: Targets that it has tried.
+        :param tried: Targets that the job has tried.
         :param now: Present time, in seconds.
         """
         return self._pools[job.pool].retry(job, tried, now)
@@ -223,11 +224,11 @@
     def finish(
         self, pool: str, attempt: int, result: boards.Result, now: float
     ) -> None:
-        """Take note that an attempt ended and its slot is free.
+        """Record that an attempt ended, and free its slot.
 
         :param pool: Name of the pool.
         :param attempt: Number of the attempt.
-        :param result: How the target dealt with it.
+        :param result: How the target handled the attempt.
         :param now: Present time, in seconds.
         """
         self._pools[pool].finish(attempt, result, now)
@@ -235,7 +236,7 @@
     def dispatch(
         self, pool: str, now: float
     ) -> list[decisions.Started | decisions.Ended]:
-        """Start a pool's jobs that may start, and end those too late.
+        """Start a pool's waiting jobs that may start; refuse expired ones.
 
         :param pool: Name of the pool.
         :param now: Present time, in seconds.
@@ -244,11 +245,11 @@
         return found.dispatch(now) if found.waiting else []
 
     def count_excess(self) -> int:
-        """Count the targets on which more is in use than rights allow."""
+        """Count the targets with more slots in use than their share."""
         return sum(pool.board.count_excess() for pool in self._pools.values())
 
     def acknowledge(self) -> Acknowledgement:
-        """Return what can be acknowledged now."""
+        """Return the revisions in force and the targets to report."""
         busy: list[str] = []
         excess: list[str] = []
         unhealthy: list[str] = []
@@ -268,13 +269,13 @@
         )
 
     def is_pending(self) -> bool:
-        """Return whether the passing of time may decide something."""
+        """Return whether jobs or targets wait for a deadline or a probe."""
         return any(
             pool.waiting or pool.board.ejected for pool in self._pools.values()
         )
 
     def count(self) -> Counts:
-        """Return how many jobs and targets are in which state."""
+        """Return the numbers of jobs and targets by state."""
         pools = self._pools.values()
         return Counts(
             waiting=sum(pool.waiting for pool in pools),
@@ -283,7 +284,7 @@
         )
 
     def _apply_pools(self, view: View) -> list[decisions.Ended]:
-        rights = compute_allotments(view.hall, self._entry)
+        allotments = compute_allotments(view.hall, self._entry)
         ended: list[decisions.Ended] = []
         for name, policy in view.configuration.pools.items():
             pool = self._pools.get(name)
@@ -294,7 +295,7 @@
                 self._budgets[name] = budget.RetryBudget(self._retry_ratio)
             pool.set_policy(policy)
         for name, pool in self._pools.items():
-            pool.board.update(rights.get(name, {}))
+            pool.board.update(allotments.get(name, {}))
             if name not in view.configuration.pools:
                 ended.extend(pool.refuse_waiting(_POOL_REMOVED))
         self._apply_workspaces(view)
@@ -326,24 +327,24 @@
 def compute_allotments(
     hall: record.Hall, entry: str
 ) -> dict[str, dict[str, boards.Allotment]]:
-    """Return an entry's rights on targets, by pool and VM.
+    """Return an entry's allotments on targets, by pool and VM.
 
     :param hall: Record of the hall.
     :param entry: Identity of the entry's VM.
     """
-    rights: dict[str, dict[str, boards.Allotment]] = {}
+    allotments: dict[str, dict[str, boards.Allotment]] = {}
     for vm, target in hall.targets.items():
         if target.state is not record.State.SERVING:
             continue
         share = shares.compute_share(hall.division, vm, target.slots, entry)
-        rights.setdefault(target.pool, {})[vm] = boards.Allotment(
+        allotments.setdefault(target.pool, {})[vm] = boards.Allotment(
             host=target.host, port=target.port, share=share
         )
-    return rights
+    return allotments
 
 
-def _merge(known: View, offered: View) -> View:
-    """Return the newer of each document."""
+def _merge_views(known: View, offered: View) -> View:
+    """Return a view with the newer revision of each document."""
     merged = known
     if offered.configuration_revision > known.configuration_revision:
         merged = dataclasses.replace(
--- a/src/rackvalve/requests/job.py
+++ b/src/rackvalve/requests/job.py
@@ -1,4 +1,7 @@
-"""A request as the scheduler sees it, and the reading of its fields."""
+"""Request data for the scheduler, and parsing of the request headers.
+
+The entry calls :func:`read_job`; a job here is one request.
+"""
 
 from __future__ import annotations
 
@@ -33,8 +36,8 @@
 )
 
 REPEATABLE_METHODS = frozenset(("GET", "HEAD", "PUT", "DELETE", "OPTIONS"))
-DEADLINE_MAX_MS = 24 * 3600 * 1000
-REQUEST_ID_MAX = 128
+MAX_DEADLINE_MS = 24 * 3600 * 1000
+MAX_ID_LENGTH = 128
 
 _ENVIRON_NAMES = {
     header: "HTTP_" + header.upper().replace("-", "_") for header in HEADERS
@@ -44,30 +47,30 @@
 
 
 class Class(enum.Enum):
-    """Class of a request: quick work stays quick, long work may wait."""
+    """Scheduling class of a request: quick, or long and able to wait."""
 
     QUICK = "quick"
     LONG = "long"
 
 
-DEFAULT_DEADLINE = {Class.QUICK: 30.0, Class.LONG: 3600.0}
+DEFAULT_DEADLINE_S = {Class.QUICK: 30.0, Class.LONG: 3600.0}
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Job:
-    """One request.
+    """One request as the scheduler handles it.
 
     :param number: Number of the request within this process.
-    :param request_id: Its identifier, the caller's or a new one.
+    :param request_id: Identifier set by the caller, or a generated one.
     :param workspace: Name of the workspace.
     :param pool: Name of the pool.
-    :param job_class: Its class.
-    :param received: Time of its arrival, in seconds.
-    :param deadline: Time by which its answer must be whole, in seconds.
-    :param repeatable: Whether it may run more than once.
-    :param key: Idempotency key; empty for a repeatable request without.
+    :param job_class: Class of the request.
+    :param received: Time of arrival, in seconds.
+    :param deadline: Time by which the answer must be complete, in seconds.
+    :param repeatable: Whether the request may run more than once.
+    :param key: Idempotency key; empty if a repeatable request has none.
     :param declared_run: Run time that the caller expects, in seconds, or
-        ``None``; a hint.
+        ``None``; only a hint.
     """
 
     number: int
@@ -91,15 +94,15 @@
     header_limit: int,
     now: float,
 ) -> Job | outcomes.Refused:
-    """Read the system's own headers of a request.
+    """Parse the Rackvalve headers and idempotency key of a request.
 
     :param environ: The WSGI environment.
     :param method: The HTTP method.
-    :param new_id: Identifier used if the caller gave none.
+    :param new_id: Identifier for a request without one.
     :param number: Number of the request within this process.
-    :param header_limit: Longest value allowed, in characters.
+    :param header_limit: Maximum length of a header value, in characters.
     :param now: Present time, in seconds.
-    :return: The job, or a refusal that names the header at fault.
+    :return: The job, or a refusal that names the invalid header.
     """
     values = {}
     for header, name in _ENVIRON_NAMES.items():
@@ -113,9 +116,9 @@
                 f"{header}: longer than {header_limit} characters",
             )
         values[header] = text
-    fault = _find_fault(values)
-    if fault:
-        return _refuse(outcomes.Reason.FIELD_MALFORMED, fault)
+    error = _find_invalid_header(values)
+    if error:
+        return _refuse(outcomes.Reason.FIELD_MALFORMED, error)
     job_class = Class(values.get(CLASS_HEADER, Class.QUICK.value))
     repeatable = method in REPEATABLE_METHODS
     if REPEATABLE_HEADER in values:
@@ -125,7 +128,7 @@
             outcomes.Reason.KEY_MISSING,
             f"{KEY_HEADER}: required for a request that is not repeatable",
         )
-    limit = DEFAULT_DEADLINE[job_class]
+    limit = DEFAULT_DEADLINE_S[job_class]
     if DEADLINE_HEADER in values:
         limit = int(values[DEADLINE_HEADER]) / 1000.0
     run = None
@@ -145,29 +148,31 @@
     )
 
 
-def _find_fault(values: Mapping[str, str]) -> str:
+def _find_invalid_header(values: Mapping[str, str]) -> str:
     for header in (WORKSPACE_HEADER, POOL_HEADER):
         if not values.get(header):
             return f"{header}: missing"
     for header in (WORKSPACE_HEADER, POOL_HEADER, KEY_HEADER):
         if header in values and not _TOKEN.fullmatch(values[header]):
-            return f"{header}: not a word of letters, digits, '.', '_', ':'"
-    words = {
+            return f"{header}: only letters, digits and '._:-' are allowed"
+    choices = {
         CLASS_HEADER: [item.value for item in Class],
         REPEATABLE_HEADER: ["yes", "no"],
     }
-    for header, allowed in words.items():
+    for header, allowed in choices.items():
         if header in values and values[header] not in allowed:
-            return f"{header}: not one of {', '.join(allowed)}"
+            return f"{header}: must be one of {', '.join(allowed)}"
     for header in (DEADLINE_HEADER, RUN_HEADER):
         text = values.get(header, "1")
         if not _DIGITS.fullmatch(text):
-            return f"{header}: not a whole number of milliseconds"
-        if not 1 <= int(text) <= DEADLINE_MAX_MS:
-            return f"{header}: not from 1 to {DEADLINE_MAX_MS} milliseconds"
+            return f"{header}: must be a whole number of milliseconds"
+        if not 1 <= int(text) <= MAX_DEADLINE_MS:
+            return f"{header}: must be from 1 to {MAX_DEADLINE_MS} ms"
     request_id = values.get(REQUEST_ID_HEADER, "-")
-    if len(request_id) > REQUEST_ID_MAX or not _TOKEN.fullmatch(request_id):
-        return f"{REQUEST_ID_HEADER}: not a word of {REQUEST_ID_MAX} or less"
+    if len(request_id) > MAX_ID_LENGTH or not _TOKEN.fullmatch(request_id):
+        return (
+            f"{REQUEST_ID_HEADER}: not 1 to {MAX_ID_LENGTH} of A-Za-z0-9._:-"
+        )
     return ""
 
 
--- a/src/rackvalve/requests/keys.py
+++ b/src/rackvalve/requests/keys.py
@@ -1,15 +1,15 @@
-"""Idempotency keys: a request that is not repeatable runs at most once.
+"""Idempotency keys, by which a non-repeatable request runs at most once.
 
 Each key has one owner, an entry of one hall, found by rendezvous hashing.
-The owner gives the right to run a key's request once and remembers it in
-memory.  Keys carry the time of their creation (UUIDv7), so that an owner
-refuses every key that an earlier owner, or an earlier process of its own,
-may have seen: no write for each request, and no request twice.
-
-Clocks matter here and only here: the clocks of callers and entries are
-assumed to differ by ``clock_skew`` at most.  With a larger difference a key
-may be refused although it was never used, or, if an owner starts within
-that difference, be accepted twice.
+The owner grants one claim on a key and remembers the claim in memory.  Keys
+carry their creation time (UUIDv7), so that an owner refuses every key that
+an earlier owner, or an earlier process on its VM, may have granted: no
+request runs twice, without a write to a store for each request.
+
+Only this module relies on synchronized clocks: the clocks of callers and
+entries are assumed to differ by ``clock_skew`` at most.  With a larger
+difference a key may be refused although it was never used, or, if an owner
+starts within that difference, be accepted twice.
 """
 
 from __future__ import annotations
@@ -32,10 +32,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Policy:
-    """Bounds of a key's life.
+    """Limits on the age of a key.
 
-    :param lifetime: How long a key is valid after its creation, seconds.
-    :param skew: Largest difference assumed between clocks, seconds.
+    :param lifetime: Time from its creation for which a key is valid, in
+        seconds.
+    :param skew: Maximum difference assumed between clocks, in seconds.
     """
 
     lifetime: float
@@ -44,14 +45,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Granted:
-    """The claimant may run the request, once."""
+    """The claimant may run the request once."""
 
 
 Claim = Granted | outcomes.Refused
 
 
-class _Entry:
-    """What an owner remembers of one key."""
+class _KeyRecord:
+    """Record of a granted claim on one key."""
 
     __slots__ = ("claimed", "claimant", "outcome", "request_id")
 
@@ -66,7 +67,7 @@
     """Return the time at which a key was created, in seconds.
 
     :param key: The key.
-    :return: ``None`` if it is no UUIDv7.
+    :return: The time; ``None`` if the key is not a UUIDv7.
     """
     try:
         parsed = uuid.UUID(key)
@@ -78,7 +79,7 @@
 
 
 def normalize(key: str) -> str:
-    """Return the one spelling of a key that all processes compare.
+    """Return the canonical form of a key, which all processes compare.
 
     :param key: A key that :func:`read_created` accepts.
     """
@@ -86,23 +87,23 @@
 
 
 class KeyRegistry:
-    """The keys that one process of an entry owns.
+    """Registry of the keys that one process of an entry owns.
 
     :param entry: Identity of the entry's VM.
     :param started: Time at which this process started, in seconds.
-    :param policy: Bounds of a key's life.
+    :param policy: Limits on the age of a key.
     """
 
     def __init__(self, entry: str, *, started: float, policy: Policy) -> None:
         self._entry = entry
         self._started = started
         self._policy = policy
-        self._entries: collections.OrderedDict[tuple[str, str], _Entry] = (
+        self._records: collections.OrderedDict[tuple[str, str], _KeyRecord] = (
             collections.OrderedDict()
         )
 
     def __len__(self) -> int:
-        return len(self._entries)
+        return len(self._records)
 
     def claim(
         self,
@@ -112,12 +113,12 @@
         claimant: str,
         now: float,
     ) -> Claim:
-        """Give the right to run a key's request, at most once.
+        """Grant the right to run a key's request, at most once.
 
         :param division: The entries of the hall that owns the key.
-        :param workspace: The workspace; keys of two workspaces differ.
+        :param workspace: The workspace; each has key names of its own.
         :param key: The key.
-        :param claimant: Identifier of this claim, unique to it.
+        :param claimant: Unique identifier of this claim.
         :param now: Present time, in seconds.
         """
         created = read_created(key)
@@ -125,21 +126,21 @@
             return _refuse(
                 outcomes.Reason.FIELD_MALFORMED, "is no UUID of version 7"
             )
-        fault = self._check_time(created, now)
-        if fault is not None:
-            return fault
+        refusal = self._check_time(created, now)
+        if refusal is not None:
+            return refusal
         key = normalize(key)
-        fault = self._check_ownership(division, workspace, key, created)
-        if fault is not None:
-            return fault
+        refusal = self._check_ownership(division, workspace, key, created)
+        if refusal is not None:
+            return refusal
         self._forget_expired(now)
-        known = self._entries.get((workspace, key))
+        known = self._records.get((workspace, key))
         if known is not None:
             detail = f"was used before; outcome {known.outcome}"
             if known.request_id:
                 detail += f", request {known.request_id}"
             return _refuse(outcomes.Reason.KEY_USED, detail)
-        self._entries[workspace, key] = _Entry(now, claimant)
+        self._records[workspace, key] = _KeyRecord(now, claimant)
         return Granted()
 
     def settle(
@@ -150,9 +151,9 @@
         outcome: str,
         request_id: str,
     ) -> None:
-        """Remember how a key's request ended.
+        """Record the outcome of a key's request.
 
-        A refusal gives the right back: the request did not run.
+        A refusal releases the claim, since the request did not run.
 
         :param workspace: The workspace.
         :param key: The key.
@@ -160,12 +161,12 @@
         :param outcome: ``served``, ``refused`` or ``unknown``.
         :param request_id: Identifier of the request that ran.
         """
-        place = (workspace, normalize(key))
-        known = self._entries.get(place)
+        record_key = (workspace, normalize(key))
+        known = self._records.get(record_key)
         if known is None or known.claimant != claimant:
             return
         if outcome == "refused":
-            del self._entries[place]
+            del self._records[record_key]
             return
         known.outcome = outcome
         known.request_id = request_id
@@ -178,7 +179,10 @@
                 outcomes.Reason.KEY_IN_FUTURE, "was created in the future"
             )
         if created < now - self._policy.lifetime:
-            return _refuse(outcomes.Reason.KEY_EXPIRED, "is too old")
+            return _refuse(
+                outcomes.Reason.KEY_EXPIRED,
+                "is older than the allowed lifetime",
+            )
         if created < self._started + 2 * self._policy.skew:
             return _refuse(
                 outcomes.Reason.KEY_NOT_VOUCHED,
@@ -201,10 +205,11 @@
         if not all(self._owns(name, entries) for entries in present):
             return _refuse(
                 outcomes.Reason.OWNER_UNREACHABLE,
-                "changes its owner now",
+                "is changing its owner; retry it",
                 OWNER_CHANGE_RETRY_AFTER_S,
             )
-        # Each division that the key has lived under must have named us.
+        # Every division in force since the key was created must have named
+        # this entry as the owner.
         margin = 2 * self._policy.skew
         for epoch in reversed(division.epochs):
             if not self._owns(name, epoch.entries):
@@ -221,13 +226,13 @@
         return shares.find_owner(name, entries) == self._entry
 
     def _forget_expired(self, now: float) -> None:
-        # Claims come in order of time, so the oldest stand first.
+        # The records are in the order of their claims, oldest first.
         horizon = now - self._policy.lifetime - 2 * self._policy.skew
-        while self._entries:
-            place, entry = next(iter(self._entries.items()))
+        while self._records:
+            record_key, entry = next(iter(self._records.items()))
             if entry.claimed >= horizon:
                 return
-            del self._entries[place]
+            del self._records[record_key]
 
 
 def _refuse(
--- a/src/rackvalve/requests/scheduler.py
+++ b/src/rackvalve/requests/scheduler.py
@@ -1,10 +1,11 @@
-"""Scheduling of one pool's jobs at one entry.
-
-Between the classes: long work never takes the slots reserved for quick
-work, and beyond them both compete by virtual time, long work with the
-weight guaranteed to it.  Within a class: weighted fair queueing among
-workspaces (:mod:`rackvalve.requests.queue`).  A job that cannot start before
-its deadline is refused at once, with the time at which a place is expected.
+"""Scheduler of one pool's jobs at one entry, used by the admission.
+
+Between the classes: long jobs never use the slots reserved for quick jobs;
+for all other slots both classes compete by virtual time, long jobs with the
+weight guaranteed to them.  Within a class: weighted fair queueing among
+workspaces (:mod:`rackvalve.requests.queue`).  A job that is not expected to
+end by its deadline is refused at once, with the time until a slot is
+expected.
 """
 
 from __future__ import annotations
@@ -27,14 +28,14 @@
 
 QUICK = jobs.Class.QUICK
 LONG = jobs.Class.LONG
-LEAST_WEIGHT = 1e-3
+MIN_WEIGHT = 1e-3
 MIN_RETRY_AFTER_S = 0.05
 NO_TARGET_RETRY_AFTER_S = 1.0
-WAIT_MARGIN = 1.25
+WAIT_SAFETY_FACTOR = 1.25
 
 
 class _Run:
-    """A job on a target."""
+    """A running attempt of a job on a target."""
 
     __slots__ = ("job", "account", "vm", "cost", "started", "trusted")
 
@@ -53,12 +54,12 @@
         self.vm = vm
         self.cost = cost
         self.started = started
-        # Whether the cost rests on observed runs.
+        # Whether the cost is estimated from observed runs.
         self.trusted = trusted
 
 
 class _ClassState:
-    """One class's queue, use and virtual time."""
+    """Queue, running jobs and virtual time of one class."""
 
     __slots__ = ("queue", "running", "virtual_time")
 
@@ -69,10 +70,10 @@
 
 
 class PoolScheduler:
-    """Jobs of one pool at one entry.
+    """Scheduler of the jobs of one pool at one entry.
 
     :param board: The pool's targets.
-    :param policy: What operators set for the pool.
+    :param policy: The pool's configuration.
     """
 
     __slots__ = (
@@ -83,9 +84,9 @@
         "_accounts",
         "_runs",
         "_attempts",
-        "_clock",
+        "_virtual_clock",
         "_deadlines",
-        "_tickets",
+        "_deadline_sequence",
         "_excluded",
     )
 
@@ -97,15 +98,15 @@
         self._accounts: dict[str, queue.Account] = {}
         self._runs: dict[int, _Run] = {}
         self._attempts = 0
-        self._clock = 0.0
+        self._virtual_clock = 0.0
         self._deadlines: list[tuple[float, int, jobs.Job]] = []
-        self._tickets = 0
-        # Targets that a waiting retry has tried already, by job number.
+        self._deadline_sequence = 0
+        # Targets that a waiting retry has already tried, by job number.
         self._excluded: dict[int, frozenset[str]] = {}
 
     @property
     def waiting(self) -> int:
-        """Number of jobs that wait."""
+        """Number of waiting jobs."""
         return len(self._classes[QUICK].queue) + len(self._classes[LONG].queue)
 
     @property
@@ -114,20 +115,20 @@
         return len(self._runs)
 
     def set_policy(self, policy: document.Pool) -> None:
-        """Take a new policy.
+        """Apply a new policy.
 
-        :param policy: What operators set for the pool.
+        :param policy: The pool's configuration.
         """
         self._policy = policy
 
     def set_account(
         self, workspace: str, weight: float, quota: int | None
     ) -> None:
-        """Take a workspace's weight and quota.
+        """Set a workspace's weight and quota.
 
         :param workspace: Name of the workspace.
         :param weight: Weight of its share.
-        :param quota: Most slots in use at once, ``None`` for no limit.
+        :param quota: Maximum of slots in use at once, ``None`` for no limit.
         """
         account = self._accounts.get(workspace)
         if account is None:
@@ -139,7 +140,7 @@
             state.queue.reweigh(workspace, weight - account.weight)
         account.weight = weight
         account.quota = quota
-        self._let_compete(account)
+        self._activate(account)
 
     def submit(self, job: jobs.Job, now: float) -> decisions.Admission:
         """Admit a job: start it, let it wait, or refuse it.
@@ -151,16 +152,16 @@
         if account.quota == 0:
             return outcomes.Refused(
                 reason=outcomes.Reason.QUOTA_ZERO,
-                detail=f"{jobs.WORKSPACE_HEADER}: its quota is 0",
+                detail=f"{jobs.WORKSPACE_HEADER}: the workspace's quota is 0",
             )
         if not self.board.has_targets():
             return outcomes.Refused(
                 reason=outcomes.Reason.NO_TARGET,
-                detail=f"{jobs.POOL_HEADER}: no target serves it here",
+                detail=f"{jobs.POOL_HEADER}: no target at this entry",
                 retry_after=NO_TARGET_RETRY_AFTER_S,
             )
         cost = self._predict(job)
-        # A job overtakes those that wait only if none of them may start.
+        # A job may start before waiting jobs only if none of them may start.
         if account.has_room() and self._choose_class() is None:
             started = self._start(account, job, cost, frozenset(), now)
             if started is not None:
@@ -170,10 +171,10 @@
     def retry(
         self, job: jobs.Job, tried: Collection[str], now: float
     ) -> decisions.Admission:
-        """Start a job again on another target, or let it wait in front.
+        """Start a job on another target, or queue it first in its workspace.
 
         :param job: The job, whose last attempt is finished.
-        :param tried: Targets that it has tried.
+        :param tried: Targets that the job has tried.
         :param now: Present time, in seconds.
         """
         if now >= job.deadline:
@@ -189,13 +190,13 @@
             if started is not None:
                 return started
         self._excluded[job.number] = excluded
-        return self._wait(account, job, cost, now, first=True)
+        return self._add_waiting(account, job, cost, now, first=True)
 
     def finish(self, attempt: int, result: boards.Result, now: float) -> None:
-        """Take note that an attempt ended and its slot is free.
+        """Record that an attempt ended, and free its slot.
 
         :param attempt: Number of the attempt.
-        :param result: How the target dealt with it.
+        :param result: How the target handled the attempt.
         :param now: Present time, in seconds.
         """
         run = self._runs.pop(attempt)
@@ -207,16 +208,16 @@
         self.board.release(run.vm, result, slowness, now)
         if result is boards.Result.GOOD:
             self._estimates.observe(job.workspace, job.job_class.value, length)
-        # Only the time really used counts against the share.
+        # Corrects the charge: only the time used counts against the share.
         self._charge(job, run.account, length - run.cost)
         run.account.running -= 1
         self._classes[job.job_class].running -= 1
-        self._let_compete(run.account)
+        self._activate(run.account)
 
     def count_unanswered(self, attempt: int, now: float) -> None:
-        """Count an unanswered attempt against its target's health.
+        """Count an unanswered attempt as a failure of its target.
 
-        :param attempt: Number of the attempt, which keeps its slot.
+        :param attempt: Number of the attempt; its slot stays taken.
         :param now: Present time, in seconds.
         """
         run = self._runs.get(attempt)
@@ -224,40 +225,42 @@
             self.board.count_unanswered(run.vm, now)
 
     def cancel(self, job: jobs.Job) -> bool:
-        """Take out a waiting job.
+        """Remove a waiting job.
 
         :param job: The job.
-        :return: Whether it was waiting; if not, it is on a target.
+        :return: Whether the job was waiting; if not, it is on a target.
         """
         self._excluded.pop(job.number, None)
         state = self._classes[job.job_class]
         return state.queue.remove(job.workspace, job.number)
 
     def dispatch(self, now: float) -> list[decisions.Decision]:
-        """Start all jobs that may start, and end those that are too late.
+        """Start the waiting jobs that may start, and refuse expired ones.
 
         :param now: Present time, in seconds.
         """
-        taken: list[decisions.Decision] = [*self._expire(now)]
+        decided: list[decisions.Decision] = [*self._expire(now)]
         while True:
             state = self._choose_class()
             if state is None:
-                return taken
+                return decided
             popped = state.queue.pop()
             if popped is None:
-                return taken
+                return decided
             account, job, cost = popped
             excluded = self._excluded.pop(job.number, frozenset())
             started = self._start(account, job, cost, excluded, now)
             if started is None:
                 state.queue.push(account, job, cost, first=True)
-                return taken
-            taken.append(started)
+                return decided
+            decided.append(started)
 
-    def refuse_waiting(self, refused: outcomes.Refused) -> list[decisions.Ended]:
-        """Refuse all waiting jobs, when the pool is taken away.
+    def refuse_waiting(
+        self, refused: outcomes.Refused
+    ) -> list[decisions.Ended]:
+        """Refuse all waiting jobs, on removal of the pool or a stop.
 
-        :param refused: The refusal.
+        :param refused: The refusal to give.
         """
         ended = []
         for state in self._classes.values():
@@ -267,18 +270,18 @@
         return ended
 
     def predict_high(self, job: jobs.Job) -> float | None:
-        """Return a run time that few such jobs exceed, in seconds.
+        """Return a high quantile of the run time of such jobs, in seconds.
 
         :param job: The job.
         """
         return self._estimates.predict_high(job.workspace, job.job_class.value)
 
     def estimate_wait(self, job: jobs.Job) -> float:
-        """Return the time until a new such job would start, in seconds.
+        """Return the expected time until a new such job starts, in seconds.
 
-        The lesser of two bounds: the time to work off all that waits in
-        its class, and the time to work off its workspace's own backlog at
-        the workspace's share.
+        This is the time until a slot is free plus the smaller of two bounds:
+        the time to run all waiting jobs of the class, and the time to run
+        the workspace's own backlog at its share.
 
         :param job: The job.
         """
@@ -289,7 +292,7 @@
         if not account.waiting:
             weight += account.weight
         total = state.queue.cost / slots
-        share = account.weight / max(weight, LEAST_WEIGHT)
+        share = account.weight / max(weight, MIN_WEIGHT)
         own = state.queue.get_backlog(job.workspace) / (slots * share)
         return min(total, own) + self._expect_free_slot()
 
@@ -299,12 +302,13 @@
         )
 
     def _find_latest_start(self, job: jobs.Job) -> float:
-        """Return the time after which a job cannot end by its deadline.
+        """Return the latest start at which a job can end by its deadline.
 
-        Only observed run times count here: a guess refuses nobody.
+        Uses observed run times only, so that no job is refused because of
+        a declared or assumed run time.
         """
-        word = job.job_class.value
-        if not self._estimates.is_trusted(job.workspace, word):
+        class_name = job.job_class.value
+        if not self._estimates.is_trusted(job.workspace, class_name):
             return job.deadline
         return job.deadline - self._predict(job)
 
@@ -325,15 +329,15 @@
                 detail=f"{jobs.WORKSPACE_HEADER}: its queue is full",
                 retry_after=retry_after,
             )
-        if now + WAIT_MARGIN * wait > self._find_latest_start(job):
+        if now + WAIT_SAFETY_FACTOR * wait > self._find_latest_start(job):
             return outcomes.Refused(
                 reason=outcomes.Reason.DEADLINE_TOO_SHORT,
-                detail=f"{jobs.DEADLINE_HEADER}: no place before it",
+                detail=f"{jobs.DEADLINE_HEADER}: too short for the wait",
                 retry_after=retry_after,
             )
-        return self._wait(account, job, cost, now, first=False)
+        return self._add_waiting(account, job, cost, now, first=False)
 
-    def _wait(
+    def _add_waiting(
         self,
         account: queue.Account,
         job: jobs.Job,
@@ -347,11 +351,11 @@
         if not state.queue and not state.running:
             other = self._classes[LONG if job.job_class is QUICK else QUICK]
             state.virtual_time = max(state.virtual_time, other.virtual_time)
-        self._wake(account)
+        self._catch_up(account)
         state.queue.push(account, job, cost, first=first)
-        self._tickets += 1
+        self._deadline_sequence += 1
         latest = self._find_latest_start(job)
-        heapq.heappush(self._deadlines, (latest, self._tickets, job))
+        heapq.heappush(self._deadlines, (latest, self._deadline_sequence, job))
         if len(self._deadlines) > 2 * self.waiting + 1024:
             self._compact_deadlines()
         return decisions.Waiting(job=job, expected_wait=wait)
@@ -370,8 +374,8 @@
         if choice is None:
             return None
         target = choice.target
-        self._wake(account)
-        self._clock = max(self._clock, account.virtual_time)
+        self._catch_up(account)
+        self._virtual_clock = max(self._virtual_clock, account.virtual_time)
         self._charge(job, account, cost)
         account.running += 1
         self._classes[job.job_class].running += 1
@@ -397,9 +401,11 @@
             choice=choice,
         )
 
-    def _wake(self, account: queue.Account) -> None:
+    def _catch_up(self, account: queue.Account) -> None:
         if not account.waiting and not account.running:
-            account.virtual_time = max(account.virtual_time, self._clock)
+            account.virtual_time = max(
+                account.virtual_time, self._virtual_clock
+            )
 
     def _charge(
         self, job: jobs.Job, account: queue.Account, run: float
@@ -408,9 +414,9 @@
         guaranteed = self._policy.long_guaranteed
         weight = guaranteed if job.job_class is LONG else 1.0 - guaranteed
         state = self._classes[job.job_class]
-        state.virtual_time += run / max(weight, LEAST_WEIGHT)
+        state.virtual_time += run / max(weight, MIN_WEIGHT)
 
-    def _let_compete(self, account: queue.Account) -> None:
+    def _activate(self, account: queue.Account) -> None:
         for state in self._classes.values():
             state.queue.activate(account)
 
@@ -434,7 +440,8 @@
     def _count_long_slots(self) -> int:
         slots = self.board.slots
         reserved = math.ceil(slots * self._policy.quick_reserved)
-        # One slot cannot be both reserved and used; long work has it too.
+        # Long jobs keep one slot even if all are reserved, as with a single
+        # slot: they could never start otherwise.
         return max(slots - reserved, min(slots, 1))
 
     def _count_class_slots(self, job_class: jobs.Class) -> float:
@@ -463,7 +470,7 @@
                 continue
             refused = outcomes.Refused(
                 reason=outcomes.Reason.DEADLINE_PASSED,
-                detail=f"{jobs.DEADLINE_HEADER}: passed while it waited",
+                detail=f"{jobs.DEADLINE_HEADER}: passed in the queue",
                 retry_after=max(self.estimate_wait(job), MIN_RETRY_AFTER_S),
             )
             ended.append(decisions.Ended(job=job, refused=refused))
