--- a/src/rackvalve/entry/dispatcher.py
+++ b/src/rackvalve/entry/dispatcher.py
@@ -54,7 +54,7 @@
         self._notify = notify
 
     def _collect(self, pool: str, now: float) -> None:
-        for decision in self._admission.collect(pool, now):
+        for decision in self._admission.dispatch(pool, now):
             self._deliver(decision)
 
     def _deliver(self, decision: decisions.Started | decisions.Ended) -> None:
@@ -111,7 +111,7 @@
     message: messages.AttemptSilent, task: Dispatcher
 ) -> None:
     pool = task._admission.pools[message.started.job.pool]
-    pool.report_silence(message.started.attempt, task._clock())
+    pool.count_unanswered(message.started.attempt, task._clock())
 
 
 @handle.register
--- a/src/rackvalve/entry/runner.py
+++ b/src/rackvalve/entry/runner.py
@@ -246,7 +246,7 @@
         left = max(job.deadline - self._clock(), 0.0)
         if job.repeatable and job.job_class is jobs.Class.QUICK:
             pool = self._dispatcher.admission.pools[job.pool]
-            high = pool.predict_limit(job)
+            high = pool.predict_high(job)
             if high is not None:
                 left = min(left, max(LIMIT_FACTOR * high, LIMIT_LEAST_S))
         return exchange.send(fresh=not job.repeatable, timeout=left)
@@ -393,7 +393,7 @@
     It is a refusal only if no attempt of it reached a target.
     """
     if not reached:
-        retry_after = refused.retry_after or scheduler.LEAST_RETRY_AFTER
+        retry_after = refused.retry_after or scheduler.MIN_RETRY_AFTER_S
         return dataclasses.replace(refused, retry_after=retry_after)
     if isinstance(result, senders.Broken):
         return outcomes.Unknown(reason=result.reason, detail=result.detail)
