--- a/src/rackvalve/manager/job_api.py
+++ b/src/rackvalve/manager/job_api.py
@@ -222,7 +222,7 @@
         self,
         host: str,
         path: str,
-        shown: credentials.Shown | credentials.Unusable,
+        shown: credentials.PresentedKey | credentials.Unusable,
     ) -> RouteMatch:
         configuration = self._view.configuration
         assert configuration is not None
@@ -232,7 +232,7 @@
         )
 
     def _challenge(
-        self, shown: credentials.Shown | credentials.Unusable
+        self, shown: credentials.PresentedKey | credentials.Unusable
     ) -> Reply:
         """Return the 401 answer to a request without a valid key."""
         reason = f"key unknown by version {_read_version(self._view)}"
--- a/src/rackvalve/workspaces/credentials.py
+++ b/src/rackvalve/workspaces/credentials.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Shown:
+class PresentedKey:
     """A key was shown.
 
     :param digest: Its digest.
@@ -48,7 +48,7 @@
     return hashlib.sha256(key.encode("utf-8", "surrogateescape")).digest()
 
 
-def read(header: str | None) -> Shown | Unusable:
+def read(header: str | None) -> PresentedKey | Unusable:
     """Read the header by which a caller shows its key (RFC 6750).
 
     :param header: Its value; ``None`` if there is none.
@@ -65,4 +65,4 @@
         return Unusable(f"the key has more than {LONGEST} characters")
     if "," in key or any(char.isspace() for char in key):
         return Unusable("more than one key was shown")
-    return Shown(digest(key))
+    return PresentedKey(digest(key))
--- a/src/rackvalve/workspaces/directory.py
+++ b/src/rackvalve/workspaces/directory.py
@@ -44,7 +44,7 @@
         return self._by_name.get(name)
 
     def find_by_key(
-        self, shown: credentials.Shown | credentials.Unusable
+        self, shown: credentials.PresentedKey | credentials.Unusable
     ) -> account.Workspace | None:
         """Return the workspace that a key belongs to.
 
