--- a/src/rackvalve/manager/job_api.py
+++ b/src/rackvalve/manager/job_api.py
@@ -222,7 +222,7 @@
         self,
         host: str,
         path: str,
-        shown: credentials.PresentedKey | credentials.Unusable,
+        shown: credentials.PresentedKey | credentials.UnusableKey,
     ) -> RouteMatch:
         configuration = self._view.configuration
         assert configuration is not None
@@ -232,11 +232,11 @@
         )
 
     def _challenge(
-        self, shown: credentials.PresentedKey | credentials.Unusable
+        self, shown: credentials.PresentedKey | credentials.UnusableKey
     ) -> Reply:
         """Return the 401 answer to a request without a valid key."""
         reason = f"key unknown by version {_read_version(self._view)}"
-        if isinstance(shown, credentials.Unusable):
+        if isinstance(shown, credentials.UnusableKey):
             reason = shown.reason
         return Reply(status=http.HTTPStatus.UNAUTHORIZED, reason=reason)
 
--- a/src/rackvalve/workspaces/credentials.py
+++ b/src/rackvalve/workspaces/credentials.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Unusable:
+class UnusableKey:
     """No key was shown that could be looked up.
 
     :param reason: Why, without the caller's own words.
@@ -48,21 +48,21 @@
     return hashlib.sha256(key.encode("utf-8", "surrogateescape")).digest()
 
 
-def read(header: str | None) -> PresentedKey | Unusable:
+def read(header: str | None) -> PresentedKey | UnusableKey:
     """Read the header by which a caller shows its key (RFC 6750).
 
     :param header: Its value; ``None`` if there is none.
     """
     if header is None or not header.strip():
-        return Unusable("no key was shown")
+        return UnusableKey("no key was shown")
     scheme, _, key = header.strip().partition(" ")
     key = key.strip()
     if scheme.lower() != SCHEME:
-        return Unusable("the key is not shown as a bearer key")
+        return UnusableKey("the key is not shown as a bearer key")
     if not key:
-        return Unusable("the key is empty")
+        return UnusableKey("the key is empty")
     if len(key) > LONGEST:
-        return Unusable(f"the key has more than {LONGEST} characters")
+        return UnusableKey(f"the key has more than {LONGEST} characters")
     if "," in key or any(char.isspace() for char in key):
-        return Unusable("more than one key was shown")
+        return UnusableKey("more than one key was shown")
     return PresentedKey(digest(key))
--- a/src/rackvalve/workspaces/directory.py
+++ b/src/rackvalve/workspaces/directory.py
@@ -44,12 +44,12 @@
         return self._by_name.get(name)
 
     def find_by_key(
-        self, shown: credentials.PresentedKey | credentials.Unusable
+        self, shown: credentials.PresentedKey | credentials.UnusableKey
     ) -> account.Workspace | None:
         """Return the workspace that a key belongs to.
 
         :param shown: What the caller has shown.
         """
-        if isinstance(shown, credentials.Unusable):
+        if isinstance(shown, credentials.UnusableKey):
             return None
         return self._by_key.get(shown.digest)
