--- a/features/steps/key_steps.py
+++ b/features/steps/key_steps.py
@@ -298,7 +298,9 @@
     first = directory.find("a")
     assert (first.rate, first.bound.cpu, first.bound.memory) == (0, 0, 2**61)
     for key, name in (("k1", "a"), ("k2", "a"), ("k3", "b")):
-        found = directory.find_by_key(credentials.read(f"bearer {key}"))
+        found = directory.find_by_key(
+            credentials.parse_header(f"bearer {key}")
+        )
         assert found is directory.find(name), key
     assert "k1" not in repr(context.configuration)
 
--- a/features/steps/share_steps.py
+++ b/features/steps/share_steps.py
@@ -176,6 +176,6 @@
         assert len(found) == count
         assert found.key_count == count * context.keys
         last = count - 1
-        shown = credentials.read(f"Bearer k{last}-{context.keys - 1}")
+        shown = credentials.parse_header(f"Bearer k{last}-{context.keys - 1}")
         assert found.find_by_key(shown) is found.find(f"w{last}")
         assert found.find("w-none") is None
--- a/src/rackvalve/manager/job_api.py
+++ b/src/rackvalve/manager/job_api.py
@@ -202,7 +202,7 @@
         host = environ.get("HTTP_HOST", "")
         path = environ.get("PATH_INFO", "")
         deadline = now + _read_time_limit(environ)
-        shown = credentials.read(environ.get(callers.KEY_HEADER))
+        shown = credentials.parse_header(environ.get(callers.KEY_HEADER))
         # A request may be allowed by a slightly old configuration, but refused
         # only by the newest: its queue or key may have just been added.
         known = self._find_match(host, path, shown).allowed
--- a/src/rackvalve/workspaces/credentials.py
+++ b/src/rackvalve/workspaces/credentials.py
@@ -48,7 +48,7 @@
     return hashlib.sha256(key.encode("utf-8", "surrogateescape")).digest()
 
 
-def read(header: str | None) -> PresentedKey | UnusableKey:
+def parse_header(header: str | None) -> PresentedKey | UnusableKey:
     """Read the header by which a caller shows its key (RFC 6750).
 
     :param header: Its value; ``None`` if there is none.
--- a/tools/experiments/shares.py
+++ b/tools/experiments/shares.py
@@ -62,7 +62,7 @@
     headers = [f"Bearer k{n % count}-0" for n in range(LOOKUPS)]
     began = time.perf_counter()
     for header in headers:
-        workspaces.find_by_key(credentials.read(header))
+        workspaces.find_by_key(credentials.parse_header(header))
     taken = time.perf_counter() - began
     return figures.Figure(
         figure=f"keys.lookup_us.{count}",
--- a/tools/fuzz.py
+++ b/tools/fuzz.py
@@ -90,7 +90,7 @@
 
 def read_key(data):
     """Read the header by which a caller shows its key."""
-    credentials.read(data.decode("latin-1"))
+    credentials.parse_header(data.decode("latin-1"))
 
 
 PARSERS = {
