--- a/src/rackvalve/workspaces/credentials.py
+++ b/src/rackvalve/workspaces/credentials.py
@@ -12,7 +12,7 @@
 
 SCHEME = "bearer"
 # Longest key that is looked up, in characters; keys in use have some twenty.
-LONGEST = 512
+MAX_KEY_LENGTH = 512
 
 Digest = bytes
 
@@ -61,8 +61,10 @@
         return UnusableKey("the key is not shown as a bearer key")
     if not key:
         return UnusableKey("the key is empty")
-    if len(key) > LONGEST:
-        return UnusableKey(f"the key has more than {LONGEST} characters")
+    if len(key) > MAX_KEY_LENGTH:
+        return UnusableKey(
+            f"the key has more than {MAX_KEY_LENGTH} characters"
+        )
     if "," in key or any(char.isspace() for char in key):
         return UnusableKey("more than one key was shown")
     return PresentedKey(digest(key))
