--- a/src/rackvalve/workspaces/rates.py
+++ b/src/rackvalve/workspaces/rates.py
@@ -2,7 +2,7 @@
 
 A generic cell rate algorithm (ITU-T I.371) for each workspace: one number,
 whatever the rate.  A workspace that was idle may send what it has paid for in
-:data:`DEPTH_S` at once, and gathers no credit beyond that.
+:data:`BURST_S` at once, and gathers no credit beyond that.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 # What a workspace may send at once after a pause, as the time in which it
 # has paid for it, in seconds: a rate a second is kept in each second.
-DEPTH_S = 1.0
+BURST_S = 1.0
 # Against rounding, in seconds.
 _EPSILON_S = 1e-6
 
@@ -46,7 +46,7 @@
         self._latest[workspace.name] = latest
         expected = max(self._expected.get(workspace.name, 0.0), latest)
         interval = 1 / workspace.rate
-        depth = max(DEPTH_S, interval) + _EPSILON_S
+        depth = max(BURST_S, interval) + _EPSILON_S
         if expected + interval - latest > depth:
             # Beyond the rate: it takes nothing from what is guaranteed.
             return False
