--- a/features/steps/share_steps.py
+++ b/features/steps/share_steps.py
@@ -108,7 +108,9 @@
 
 
 def take(context, times):
-    return sum(context.rates.take(context.workspace, time) for time in times)
+    return sum(
+        context.rates.count_job(context.workspace, time) for time in times
+    )
 
 
 @behave.when(
--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -137,7 +137,7 @@
             return
         state.arrived = now
         if not state.is_final:
-            state.guaranteed = self._rates.take(
+            state.guaranteed = self._rates.count_job(
                 self.find_workspace(state), state.accepted
             )
         self.jobs[state.identity] = state
--- a/src/rackvalve/workspaces/rates.py
+++ b/src/rackvalve/workspaces/rates.py
@@ -28,7 +28,7 @@
         # The latest that was counted, by workspace, seconds since 1970.
         self._latest: dict[str, float] = {}
 
-    def take(
+    def count_job(
         self, workspace: account.Workspace | None, accepted: float
     ) -> bool:
         """Count a job.
