--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -273,7 +273,7 @@
             worker.drop(placed)
         if placed.task.runs.pop(placed.run.number, None) is not None:
             charge = fleet.get_charge(placed.step)
-            self.usage.drop(placed.state.workspace, charge)
+            self.usage.subtract(placed.state.workspace, charge)
         placed.state.requeue(placed.task, now + delay)
         self.mark_changed(placed.state)
 
--- a/src/rackvalve/workspaces/usage.py
+++ b/src/rackvalve/workspaces/usage.py
@@ -38,7 +38,7 @@
         if workspace:
             self._used[workspace] = self.used(workspace).plus(need)
 
-    def drop(self, workspace: str, need: fleet.Resources) -> None:
+    def subtract(self, workspace: str, need: fleet.Resources) -> None:
         """Count a run no longer: it is over.
 
         :param workspace: Name of the workspace; empty counts nothing.
