--- a/src/rackvalve/scheduling/demand.py
+++ b/src/rackvalve/scheduling/demand.py
@@ -96,7 +96,7 @@
             return request
         left = self._left.get(workspace.name)
         if left is None:
-            left = self._book.usage.left(workspace)
+            left = self._book.usage.compute_headroom(workspace)
         allowed = request.within(left)
         self._left[workspace.name] = left.minus(allowed)
         return allowed
--- a/src/rackvalve/workspaces/usage.py
+++ b/src/rackvalve/workspaces/usage.py
@@ -52,7 +52,9 @@
         else:
             self._used[workspace] = left
 
-    def left(self, workspace: account.Workspace) -> fleet.Resources:
+    def compute_headroom(
+        self, workspace: account.Workspace
+    ) -> fleet.Resources:
         """Return what a workspace's bound leaves, at least nothing.
 
         :param workspace: The workspace.
