--- a/src/rackvalve/fleet/transitions.py
+++ b/src/rackvalve/fleet/transitions.py
@@ -237,7 +237,7 @@
     return missing
 
 
-def may_trust(hall: record.Hall, vm: str, source: str) -> bool:
+def may_serve_copy(hall: record.Hall, vm: str, source: str) -> bool:
     """Return whether a VM that starts anew may serve on a peer's copy.
 
     Only a copy from another entry that holds rights will do: what this VM
--- a/src/rackvalve/steward/keeper.py
+++ b/src/rackvalve/steward/keeper.py
@@ -140,7 +140,7 @@
         if self.trusted or not revision:
             return
         if source not in (PLATFORM, OWN_ENTRY):
-            if not transitions.may_trust(hall, self._vm, source):
+            if not transitions.may_serve_copy(hall, self._vm, source):
                 return
         self.trusted = True
         self.documents.wake()
--- a/tools/explorer.py
+++ b/tools/explorer.py
@@ -377,7 +377,8 @@
             return True
         hall = self.records[state.copy]
         return any(
-            transitions.may_trust(hall, vm, source) for source in state.heard
+            transitions.may_serve_copy(hall, vm, source)
+            for source in state.heard
         )
 
     def _find_violation(self, world):
