--- a/src/rackvalve/workspaces/__init__.py
+++ b/src/rackvalve/workspaces/__init__.py
@@ -1,1 +1,1 @@
-"""Workspaces: who may call as one, what it may run, what share it has paid."""
+"""Workspaces: their keys, guaranteed rates, bounds and current usage."""
--- a/src/rackvalve/workspaces/account.py
+++ b/src/rackvalve/workspaces/account.py
@@ -1,4 +1,4 @@
-"""What a workspace has paid for."""
+"""A workspace's guaranteed rate, its bound and the keys of its callers."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Workspace:
-    """One paying customer of the fleet.
-
-    :param name: Its name.
-    :param rate: Jobs a second that it may count on when all is full; 0
-        guarantees none.
-    :param bound: The most that it may have running over all pools; 0 in a
-        kind of room is no bound.
-    :param keys: Digests of the keys by which callers are known as its own.
+    """A workspace: the party that pays for jobs on the fleet.
+
+    :param name: Name of the workspace.
+    :param rate: Jobs per second that are guaranteed when the fleet is full;
+        0 for no guarantee.
+    :param bound: Most resources that the workspace may use at once over all
+        pools; 0 for a resource means unbounded.
+    :param keys: Digests of the API keys of the workspace's callers.
     """
 
     name: str
@@ -31,14 +31,14 @@
 def allows(
     bound: fleet.Resources, used: fleet.Resources, need: fleet.Resources
 ) -> bool:
-    """Return whether a bound leaves room for one more task.
+    """Return whether one more task fits within a bound.
 
-    A workspace without anything running may always start one task: it could
-    otherwise never run a task that is larger than its bound.
+    A workspace with nothing running may always start one task: otherwise a
+    task larger than the bound could never run.
 
-    :param bound: The most that may run; 0 is no bound.
-    :param used: What may be running now.
-    :param need: What the task takes.
+    :param bound: Most resources in use at once; 0 means unbounded.
+    :param used: Resources of all runs that may still be running.
+    :param need: Resources that the task requests.
     """
     if used == fleet.NO_RESOURCES:
         return True
--- a/src/rackvalve/workspaces/credentials.py
+++ b/src/rackvalve/workspaces/credentials.py
@@ -1,8 +1,8 @@
-"""What a caller shows for its right to call: a bearer key, as a digest.
+"""Bearer keys of callers: parsing the Authorization header, and digests.
 
-A key is a secret that opens a workspace's jobs to whoever has it.  It is
-turned into its digest where it is read, and stands nowhere else: not in a
-configuration that is held, a log line, an error or a record.
+A key is a secret that gives access to a workspace's jobs.  It is replaced by
+its digest as soon as it is read, and is never kept in a configuration, a log
+line, an error or a record.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import hashlib
 
 SCHEME = "bearer"
-# Longest key that is looked up, in characters; keys in use have some twenty.
+# Longest key that is looked up, in characters; usual keys have about 20.
 MAX_KEY_LENGTH = 512
 
 Digest = bytes
@@ -19,9 +19,9 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PresentedKey:
-    """A key was shown.
+    """The caller presented a well-formed key, which may be unknown.
 
-    :param digest: Its digest.
+    :param digest: Digest of the key.
     """
 
     digest: Digest
@@ -29,19 +29,19 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class UnusableKey:
-    """No key was shown that could be looked up.
+    """The caller presented no key that can be looked up.
 
-    :param reason: Why, without the caller's own words.
+    :param reason: Cause, without any text from the caller.
     """
 
     reason: str
 
 
 def digest(key: str) -> Digest:
-    """Return the digest under which a key is kept and looked up.
+    """Return the digest under which a key is stored and looked up.
 
-    Equal digests are found by hashing, so that the time of a look-up tells
-    nothing about how much of a key was guessed right.
+    Digests are compared instead of keys, so that the time of a look-up
+    does not reveal how much of a guessed key is right.
 
     :param key: The key.
     """
@@ -49,9 +49,9 @@
 
 
 def parse_header(header: str | None) -> PresentedKey | UnusableKey:
-    """Read the header by which a caller shows its key (RFC 6750).
+    """Parse the Authorization header that carries a key (RFC 6750).
 
-    :param header: Its value; ``None`` if there is none.
+    :param header: Value of the header; ``None`` if it is absent.
     """
     if header is None or not header.strip():
         return UnusableKey("no key was shown")
--- a/src/rackvalve/workspaces/directory.py
+++ b/src/rackvalve/workspaces/directory.py
@@ -1,4 +1,4 @@
-"""All workspaces of a configuration, and whose each key is."""
+"""Look-up of a configuration's workspaces by name and by key."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 class Directory:
     """Finds workspaces by name and by key.
 
-    Where two workspaces name the same key it is the first one's.  Of two
-    workspaces of one name the first one's rate and bound hold for the keys of
-    both.
+    A key that two workspaces list belongs to the first of them.  If two
+    workspaces have the same name, the rate and bound of the first apply to
+    the keys of both.
 
     :param workspaces: The workspaces, in the operator's order.
     """
@@ -33,22 +33,22 @@
 
     @property
     def key_count(self) -> int:
-        """How many keys are in force."""
+        """Number of distinct keys."""
         return len(self._by_key)
 
     def find(self, name: str) -> account.Workspace | None:
-        """Return a workspace.
+        """Return a workspace, or ``None`` if there is none of the name.
 
-        :param name: Its name.
+        :param name: Name of the workspace.
         """
         return self._by_name.get(name)
 
     def find_by_key(
         self, shown: credentials.PresentedKey | credentials.UnusableKey
     ) -> account.Workspace | None:
-        """Return the workspace that a key belongs to.
+        """Return the workspace of a key, or ``None`` if it is unknown.
 
-        :param shown: What the caller has shown.
+        :param shown: Result of parsing the caller's header.
         """
         if isinstance(shown, credentials.UnusableKey):
             return None
--- a/src/rackvalve/workspaces/usage.py
+++ b/src/rackvalve/workspaces/usage.py
@@ -1,8 +1,8 @@
-"""What each workspace may have running, over all pools.
+"""Resource usage of each workspace over all pools.
 
-All that may still run counts: runs that are being stopped, runs on workers
-that say nothing, and runs that an earlier owner has recorded.  So a workspace
-stays within its bound whatever becomes of an order that is under way.
+Every run that may still be running counts: runs that are being stopped, runs
+on silent workers, and runs recorded by an earlier owner.  A workspace thus
+stays within its bound whatever the outcome of an order in flight.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from rackvalve.scheduling import fleet
 from rackvalve.workspaces import account
 
-# What is left where there is no bound: more than any fleet has.
+# Headroom where there is no bound: more than any fleet has.
 _UNBOUNDED = 2**62
 
 
 class Usage:
-    """Sums of what may be running, by workspace."""
+    """Sums the resources of runs that may be running, by workspace."""
 
     __slots__ = ("_used",)
 
@@ -23,26 +23,26 @@
         self._used: dict[str, fleet.Resources] = {}
 
     def used(self, workspace: str) -> fleet.Resources:
-        """Return what a workspace may have running.
+        """Return the resources that a workspace may be using.
 
-        :param workspace: Its name.
+        :param workspace: Name of the workspace.
         """
         return self._used.get(workspace, fleet.NO_RESOURCES)
 
     def add(self, workspace: str, need: fleet.Resources) -> None:
-        """Count a run.
+        """Add the resources of a run.
 
         :param workspace: Name of the workspace; empty counts nothing.
-        :param need: What the run takes.
+        :param need: Resources of the run.
         """
         if workspace:
             self._used[workspace] = self.used(workspace).plus(need)
 
     def subtract(self, workspace: str, need: fleet.Resources) -> None:
-        """Count a run no longer: it is over.
+        """Subtract the resources of a run that has ended.
 
         :param workspace: Name of the workspace; empty counts nothing.
-        :param need: What the run took.
+        :param need: Resources of the run, as they were added.
         """
         if not workspace:
             return
@@ -55,7 +55,7 @@
     def compute_headroom(
         self, workspace: account.Workspace
     ) -> fleet.Resources:
-        """Return what a workspace's bound leaves, at least nothing.
+        """Return the headroom within a workspace's bound, never negative.
 
         :param workspace: The workspace.
         """
@@ -73,11 +73,11 @@
         ask: fleet.Resources,
         most: int,
     ) -> int:
-        """Return how many more tasks a workspace's bound leaves room for.
+        """Return how many more tasks fit within a workspace's bound.
 
         :param workspace: The workspace; ``None`` has no bound.
-        :param ask: What each of the tasks takes.
-        :param most: The most that are wanted.
+        :param ask: Resources of each task.
+        :param most: Upper limit of the result.
         """
         if workspace is None or workspace.bound == fleet.NO_RESOURCES:
             return most
