--- a/src/rackvalve/manager/job_api.py
+++ b/src/rackvalve/manager/job_api.py
@@ -202,7 +202,7 @@
         host = environ.get("HTTP_HOST", "")
         path = environ.get("PATH_INFO", "")
         deadline = now + _read_time_limit(environ)
-        shown = credentials.read(environ.get(callers.KEY_HEADER))
+        shown = credentials.parse_header(environ.get(callers.KEY_HEADER))
         # A request may be allowed by a slightly old configuration, but refused
         # only by the newest: its queue or key may have just been added.
         known = self._find_match(host, path, shown).allowed
@@ -222,7 +222,7 @@
         self,
         host: str,
         path: str,
-        shown: credentials.Shown | credentials.Unusable,
+        shown: credentials.PresentedKey | credentials.UnusableKey,
     ) -> RouteMatch:
         configuration = self._view.configuration
         assert configuration is not None
@@ -232,11 +232,11 @@
         )
 
     def _challenge(
-        self, shown: credentials.Shown | credentials.Unusable
+        self, shown: credentials.PresentedKey | credentials.UnusableKey
     ) -> Reply:
         """Return the 401 answer to a request without a valid key."""
         reason = f"key unknown by version {_read_version(self._view)}"
-        if isinstance(shown, credentials.Unusable):
+        if isinstance(shown, credentials.UnusableKey):
             reason = shown.reason
         return Reply(status=http.HTTPStatus.UNAUTHORIZED, reason=reason)
 
