--- a/src/rackvalve/platform/documents.py
+++ b/src/rackvalve/platform/documents.py
@@ -14,7 +14,7 @@
 
 from rackvalve import errors
 from rackvalve.jobs import incarnations
-from rackvalve.platform import births
+from rackvalve.platform import start_times
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import queues
 from rackvalve.workspaces import account as accounts
@@ -116,7 +116,7 @@
     # The data hall.
     zone: str = ""
     remaining_ms: float | None = None
-    born: msgspec.Raw = births.MISSING
+    born: msgspec.Raw = start_times.ABSENT
 
 
 class _WireWave(msgspec.Struct, rename="kebab"):
@@ -166,7 +166,7 @@
     rack = wire.labels[RACK_LABEL] if len(wire.labels) > RACK_LABEL else ""
     remaining = wire.remaining_ms
     incarnation = incarnations.Incarnation(
-        worker=worker_of(key), born=births.read_birth(wire.born)
+        worker=worker_of(key), born=start_times.parse_start_time(wire.born)
     )
     return fleet.Entry(
         identity=incarnation.identity,
--- a/src/rackvalve/platform/reports.py
+++ b/src/rackvalve/platform/reports.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from rackvalve.platform import births
+from rackvalve.platform import start_times
 from rackvalve.scheduling import messages
 
 # Any other word means that the run did not end by itself: stopped; lapsed (the
@@ -41,7 +41,7 @@
     # report, would show all runs as ended.
     running: list[list[str | int | float]]
     ended: list[list[str | int]]
-    born: msgspec.Raw = births.MISSING
+    born: msgspec.Raw = start_times.ABSENT
 
 
 def read_report(body: bytes) -> Report:
@@ -78,5 +78,5 @@
         clock=wire.clock / 1000,
         running=running,
         ended=ended,
-        born=births.read_birth(wire.born),
+        born=start_times.parse_start_time(wire.born),
     )
--- a/src/rackvalve/platform/births.py
+++ b/src/rackvalve/platform/start_times.py
@@ -6,19 +6,19 @@
 
 # Start times from here on are invalid, in milliseconds since 1970: the year
 # 5138.
-MAX_BIRTH_MS = 100_000_000_000_000
+MAX_START_TIME_MS = 100_000_000_000_000
 # Value of a field that is absent.
-MISSING = msgspec.Raw(b"null")
+ABSENT = msgspec.Raw(b"null")
 
 
-def read_birth(wire: msgspec.Raw) -> int | None:
+def parse_start_time(wire: msgspec.Raw) -> int | None:
     """Decode the start time that a worker reports.
 
-    :param wire: The field, or :data:`MISSING`.
+    :param wire: The field, or :data:`ABSENT`.
     :return: Milliseconds since 1970; ``None`` for an absent or invalid value.
     """
     try:
         born = msgspec.json.decode(wire, type=int)
     except msgspec.DecodeError:
         return None
-    return born if 0 < born < MAX_BIRTH_MS else None
+    return born if 0 < born < MAX_START_TIME_MS else None
