--- a/features/steps/fault_steps.py
+++ b/features/steps/fault_steps.py
@@ -61,7 +61,7 @@
 
 
 @behave.when("callers send while answers break and targets fail")
-def run_breaking(context):
+def run_with_broken_answers(context):
     run_campaign(context, ("broken_answers", "failing_target") * 2)
 
 
@@ -96,13 +96,13 @@
 
 
 @behave.given('every target answers with the fault "{fault}"')
-def set_all(context, fault):
+def fault_all_targets(context, fault):
     for vm in context.fleet.targets:
         context.fleet.control_target(vm, fault=fault)
 
 
 @behave.given('one target of the pool answers with the fault "{fault}"')
-def set_one(context, fault):
+def fault_one_target(context, fault):
     context.fleet.control_target(f"north-{POOL}-1", fault=fault)
 
 
@@ -143,7 +143,7 @@
 
 
 @behave.when("a caller asks for an answer of {size:d} bytes that breaks off")
-def ask_breaking(context, size):
+def request_broken_answer(context, size):
     try:
         context.reply = context.fleet.request(
             context.fleet.entries[0], POOL, path=f"/work?size={size}"
@@ -177,7 +177,7 @@
 
 
 @behave.when("{count:d} callers send and go away at once")
-def go_away(context, count):
+def disconnect_callers(context, count):
     head = (
         f"GET /work HTTP/1.1\r\nHost: e\r\nRackvalve-Workspace: ws-1\r\n"
         f"Rackvalve-Pool: {POOL}\r\n\r\n"
--- a/src/rackvalve/platform/_answers.py
+++ b/src/rackvalve/platform/_answers.py
@@ -1,4 +1,4 @@
-"""HTTP response parser for the client in :mod:`~.connections`.
+"""HTTP response parser for the client in ``connections``.
 
 Only the caller closes the connection.  The HTTP library's own reader closes it
 as soon as a response announces the close; when the caller closed it again, the
--- a/src/rackvalve/platform/connections.py
+++ b/src/rackvalve/platform/connections.py
@@ -117,7 +117,7 @@
     def discard_idle(self) -> None:
         """Close all idle connections.
 
-        Called after an answer that belongs to another call.
+        Callers use it after an answer that belongs to another call.
         """
         self._close_idle()
 
--- a/src/rackvalve/platform/store.py
+++ b/src/rackvalve/platform/store.py
@@ -384,7 +384,7 @@
         if isinstance(done, Unavailable):
             return Unknown(reason=done.reason)
         if done.rev < min_revision and not raw.first:
-            return Unknown(reason="the answer to an earlier commit")
+            return Unknown(reason="answer to an earlier commit")
         # A lower revision means that the store was replaced.
         known = self._last_committed if done.rev >= min_revision else 0
         self._last_committed = max(known, done.rev)
