--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/book.py
@@ -137,7 +137,7 @@
             return
         state.arrived = now
         if not state.is_final:
-            state.guaranteed = self._rates.take(
+            state.guaranteed = self._rates.count_job(
                 self.find_workspace(state), state.accepted
             )
         self.jobs[state.identity] = state
@@ -273,7 +273,7 @@
             worker.drop(placed)
         if placed.task.runs.pop(placed.run.number, None) is not None:
             charge = fleet.get_charge(placed.step)
-            self.usage.drop(placed.state.workspace, charge)
+            self.usage.subtract(placed.state.workspace, charge)
         placed.state.requeue(placed.task, now + delay)
         self.mark_changed(placed.state)
 
