--- a/features/scheduling_history.py
+++ b/features/scheduling_history.py
@@ -9,7 +9,7 @@
 from rackvalve.requests import decisions
 from rackvalve.requests import job as jobs
 from rackvalve.requests import scheduler
-from rackvalve.targets import board as boards
+from rackvalve.targets import group as groups
 from tools.baselines import fifo
 from tools import poolsim
 
@@ -70,8 +70,8 @@
             queue_limit=20,
             workspace_queue_limit=10,
         )
-        self.board = poolsim.make_board(TARGETS, SLOTS)
-        self.pool = KINDS[kind](self.board, policy)
+        self.group = poolsim.make_group(TARGETS, SLOTS)
+        self.pool = KINDS[kind](self.group, policy)
         for index in range(4):
             quota = QUOTA if index == 0 else None
             self.pool.set_account(f"ws-{index}", index + 1.0, quota)
@@ -90,7 +90,7 @@
         for _ in range(200):
             if not self.running:
                 break
-            self._finish(0, boards.Result.GOOD)
+            self._finish(0, groups.Result.GOOD)
             self._check()
         left = [n for n, state in self.state.items() if state == "waiting"]
         if left:
@@ -100,8 +100,8 @@
         if action in ("quick", "long"):
             self._submit(jobs.Class(action), index)
         elif action in ("finish", "fail") and self.running:
-            good = boards.Result.GOOD
-            bad = boards.Result.FAILED
+            good = groups.Result.GOOD
+            bad = groups.Result.FAILED
             self._finish(index, good if action == "finish" else bad)
         elif action == "cancel":
             self._cancel(index)
@@ -141,7 +141,7 @@
             return
         attempt = self._pick(index)
         started = self.running.pop(attempt)
-        self.pool.finish(attempt, boards.Result.FAILED, self.now)
+        self.pool.finish(attempt, groups.Result.FAILED, self.now)
         self.state[started.job.number] = "waiting"
         reply = self.pool.retry(started.job, [started.vm], self.now)
         if isinstance(reply, decisions.Started):
@@ -173,7 +173,7 @@
 
     def _check_start(self, job):
         classes = [s.job.job_class for s in self.running.values()]
-        slots = self.board.slots
+        slots = self.group.slots
         long_most = max(slots - int(slots * RESERVED + 0.999), 1)
         if job.job_class is LONG and classes.count(LONG) > long_most:
             raise BrokenRuleError("reserved for quick")
@@ -182,14 +182,14 @@
             raise BrokenRuleError("quota")
 
     def _check(self):
-        for target in self.board.get_targets().values():
+        for target in self.group.get_targets().values():
             if target.in_use > target.allotment.share:
                 raise BrokenRuleError("slots of a target")
             if target.in_use < 0:
                 raise BrokenRuleError("slots given back twice")
         if self.pool.running != len(self.running):
             raise BrokenRuleError("no job is lost")
-        free = self.board.slots - len(self.running)
+        free = self.group.slots - len(self.running)
         starters = [
             n
             for n, state in self.state.items()
@@ -198,5 +198,5 @@
             and self.known[n].workspace != "ws-0"
             and self.known[n].deadline > self.now
         ]
-        if free > 0 and self.board.ejected == 0 and starters:
+        if free > 0 and self.group.ejected == 0 and starters:
             raise BrokenRuleError("work conserving")
--- a/features/steps/scheduling_steps.py
+++ b/features/steps/scheduling_steps.py
@@ -10,8 +10,8 @@
 from features import scheduling_history as histories
 from rackvalve.requests import decisions
 from rackvalve.requests import job as jobs
-from rackvalve.targets import board as boards
 from rackvalve.targets import budget
+from rackvalve.targets import group as groups
 from tools import poolsim
 
 QUICK = jobs.Class.QUICK
@@ -227,7 +227,7 @@
     assert len(context.found) == 1, context.found
     assert context.found[0].refused.reason.value == reason
     attempt = context.first.attempt
-    context.pool.finish(attempt, boards.Result.GOOD, 7.0)
+    context.pool.finish(attempt, groups.Result.GOOD, 7.0)
     assert context.pool.dispatch(7.0) == []
 
 
@@ -252,7 +252,7 @@
     pool = context.pool
     assert context.cancelled == len(context.jobs) - 1
     assert pool.waiting == 0
-    pool.finish(context.first.attempt, boards.Result.GOOD, 1.0)
+    pool.finish(context.first.attempt, groups.Result.GOOD, 1.0)
     job = poolsim.make_job(10**6, "ws-0", QUICK, 1.0)
     assert isinstance(pool.submit(job, 1.0), decisions.Started)
 
@@ -274,11 +274,11 @@
         started = context.pool.submit(job, now)
         took = 0.5 if started.vm == slow else 0.1
         good = started.vm not in bad
-        result = boards.Result.GOOD if good else boards.Result.FAILED
+        result = groups.Result.GOOD if good else groups.Result.FAILED
         now += took
         context.pool.finish(started.attempt, result, now)
         context.most_ejected = max(
-            context.most_ejected, context.pool.board.ejected
+            context.most_ejected, context.pool.group.ejected
         )
 
 
@@ -289,32 +289,32 @@
 
 @behave.then("the good target is never ejected")
 def check_good(context):
-    target = context.pool.board.get_targets()["vm-9"]
+    target = context.pool.group.get_targets()["vm-9"]
     assert target.ejections == 0
 
 
 @behave.given("a pool whose only target was ejected and probed")
 def eject_and_probe(context):
-    policy = boards.Policy(failures=1, time=1.0, cap=1.0)
-    context.board = boards.Board(policy, rng=random.Random(1))
-    allotment = boards.Allotment(host="h", port=1, share=4)
-    context.board.update({"vm-0": allotment})
-    context.board.choose(())
-    context.board.release("vm-0", boards.Result.FAILED, None, 0.0)
-    assert context.board.choose(()) is None
-    assert context.board.list_due(0.5) == []
-    assert [t.vm for t in context.board.list_due(1.5)] == ["vm-0"]
-    context.board.conclude_probe("vm-0", True, 1.5)
+    policy = groups.Policy(failures=1, time=1.0, cap=1.0)
+    context.group = groups.TargetGroup(policy, rng=random.Random(1))
+    allotment = groups.Allotment(host="h", port=1, share=4)
+    context.group.update({"vm-0": allotment})
+    context.group.choose(())
+    context.group.release("vm-0", groups.Result.FAILED, None, 0.0)
+    assert context.group.choose(()) is None
+    assert context.group.list_due(0.5) == []
+    assert [t.vm for t in context.group.list_due(1.5)] == ["vm-0"]
+    context.group.conclude_probe("vm-0", True, 1.5)
 
 
 @behave.then("it may run {count:d} job, and more after each that goes well")
 def check_slow_start(context, count):
-    board = context.board
-    limits = [board.slots]
+    group = context.group
+    limits = [group.slots]
     for _ in range(8):
-        board.choose(())
-        board.release("vm-0", boards.Result.GOOD, 1.0, 2.0)
-        limits.append(board.slots)
+        group.choose(())
+        group.release("vm-0", groups.Result.GOOD, 1.0, 2.0)
+        limits.append(group.slots)
     assert limits[0] == count, limits
     assert limits == sorted(limits) and limits[-1] == 4, limits
 
@@ -331,7 +331,7 @@
 def check_slow_limit(context):
     usable = {
         vm: target.usable
-        for vm, target in context.pool.board.get_targets().items()
+        for vm, target in context.pool.group.get_targets().items()
     }
     slow = usable.pop("vm-0")
     assert slow < min(usable.values()), (slow, usable)
--- a/src/rackvalve/entry/app.py
+++ b/src/rackvalve/entry/app.py
@@ -14,7 +14,7 @@
 from rackvalve import outcomes
 from rackvalve.requests import job as jobs
 from rackvalve import servers
-from rackvalve.targets import board
+from rackvalve.targets import group
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -230,16 +230,16 @@
         self._runner = runner
         self._served = served
         self._timeout = timeout
-        self._result = board.Result.ABANDONED
+        self._result = group.Result.ABANDONED
 
     def __iter__(self) -> Iterator[bytes]:
         yield self._served.answer.body
         try:
             yield from self._served.exchange.stream(self._timeout)
         except OSError:
-            self._result = board.Result.FAILED
+            self._result = group.Result.FAILED
             raise
-        self._result = board.Result.GOOD
+        self._result = group.Result.GOOD
 
     def close(self) -> None:
         """Give the slot back; called by the server in every case."""
--- a/src/rackvalve/entry/dispatcher.py
+++ b/src/rackvalve/entry/dispatcher.py
@@ -156,7 +156,7 @@
 def _on_probe_ended(message: messages.ProbeEnded, task: Dispatcher) -> None:
     now = task._clock()
     pool = task._admission.pools[message.pool]
-    pool.board.conclude_probe(message.vm, message.healthy, now)
+    pool.group.conclude_probe(message.vm, message.healthy, now)
     task._collect(message.pool, now)
 
 
@@ -165,7 +165,7 @@
     now = task._clock()
     for name, pool in task._admission.pools.items():
         task._collect(name, now)
-        for target in pool.board.list_due(now):
+        for target in pool.group.list_due(now):
             allotment = target.allotment
             task._probe(name, target.vm, allotment.host, allotment.port)
 
--- a/src/rackvalve/entry/messages.py
+++ b/src/rackvalve/entry/messages.py
@@ -10,7 +10,7 @@
     from rackvalve.requests import admission
     from rackvalve.requests import decisions
     from rackvalve.requests import job as jobs
-    from rackvalve.targets import board
+    from rackvalve.targets import group
     from rackvalve import tasks
 
     Reply = decisions.Started | decisions.Waiting | outcomes.Refused
@@ -47,7 +47,7 @@
     """
 
     started: decisions.Started
-    result: board.Result
+    result: group.Result
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
--- a/src/rackvalve/entry/program.py
+++ b/src/rackvalve/entry/program.py
@@ -32,7 +32,7 @@
 from rackvalve import servers
 from rackvalve.settings import kinds
 from rackvalve.settings import reader
-from rackvalve.targets import board
+from rackvalve.targets import group
 from rackvalve import tasks
 
 PROGRAM = "rackvalve-entry"
@@ -139,7 +139,7 @@
         settings = self._settings
         core = admissions.Admission(
             self._vm,
-            policy=board.Policy(
+            policy=group.Policy(
                 failures=settings.get("entry", "eject_failures", int),
                 time=settings.get("entry", "eject_time", float),
                 cap=settings.get("entry", "eject_cap", float),
--- a/src/rackvalve/entry/runner.py
+++ b/src/rackvalve/entry/runner.py
@@ -24,7 +24,7 @@
 from rackvalve.requests import job as jobs
 from rackvalve.requests import scheduler
 from rackvalve import sockets
-from rackvalve.targets import board
+from rackvalve.targets import group
 from rackvalve import tasks
 
 if TYPE_CHECKING:
@@ -117,14 +117,14 @@
         self._note(job, trace, outcome)
         return outcome
 
-    def end_stream(self, served: Served, result: board.Result) -> None:
+    def end_stream(self, served: Served, result: group.Result) -> None:
         """Give the slot of a streamed answer back.
 
         :param served: The outcome that was streamed.
         :param result: How the target dealt with it; ``ABANDONED`` when the
             caller went away in the middle.
         """
-        if result is board.Result.ABANDONED:
+        if result is group.Result.ABANDONED:
             gevent.spawn(self._hold, served.exchange, served.started)
             return
         self._dispatcher.tell(messages.AttemptEnded(served.started, result))
@@ -309,22 +309,22 @@
         if isinstance(result, senders.Answered):
             failed = result.status >= SERVER_ERROR
             if failed and job.repeatable and result.whole:
-                self._end(started, board.Result.FAILED)
+                self._end(started, group.Result.FAILED)
                 return None
             served = Served(answer=result, exchange=exchange, started=started)
             if result.whole:
-                good = board.Result.FAILED if failed else board.Result.GOOD
+                good = group.Result.FAILED if failed else group.Result.GOOD
                 self._end(started, good)
             return served
         if isinstance(result, senders.NotSent):
-            self._end(started, board.Result.UNREACHABLE)
+            self._end(started, group.Result.UNREACHABLE)
             return None
-        self._end(started, board.Result.FAILED)
+        self._end(started, group.Result.FAILED)
         if job.repeatable:
             return None
         return outcomes.Unknown(reason=result.reason, detail=result.detail)
 
-    def _end(self, started: decisions.Started, result: board.Result) -> None:
+    def _end(self, started: decisions.Started, result: group.Result) -> None:
         self._dispatcher.tell(messages.AttemptEnded(started, result))
 
     def _hold(
@@ -332,7 +332,7 @@
     ) -> None:
         """Keep a slot until the target is done with what it was sent."""
         exchange.drain()
-        self._end(started, board.Result.ABANDONED)
+        self._end(started, group.Result.ABANDONED)
 
     def _trace_start(
         self, trace: traces.Trace, started: decisions.Started
--- a/src/rackvalve/requests/admission.py
+++ b/src/rackvalve/requests/admission.py
@@ -16,8 +16,8 @@
 from rackvalve.requests import decisions
 from rackvalve.requests import job as jobs
 from rackvalve.requests import scheduler
-from rackvalve.targets import board as boards
 from rackvalve.targets import budget
+from rackvalve.targets import group as groups
 
 if TYPE_CHECKING:
     from collections.abc import Collection
@@ -87,7 +87,7 @@
         self,
         entry: str,
         *,
-        policy: boards.Policy,
+        policy: groups.Policy,
         retry_ratio: float,
         rng: random.Random,
     ) -> None:
@@ -202,7 +202,7 @@
         pool = self._pools[job.pool]
         others = any(
             target.usable and vm not in tried
-            for vm, target in pool.board.get_targets().items()
+            for vm, target in pool.group.get_targets().items()
         )
         if not others or not self._budgets[job.pool].take():
             return None
@@ -222,7 +222,7 @@
         return self._pools[job.pool].retry(job, tried, now)
 
     def finish(
-        self, pool: str, attempt: int, result: boards.Result, now: float
+        self, pool: str, attempt: int, result: groups.Result, now: float
     ) -> None:
         """Record that an attempt ended, and free its slot.
 
@@ -246,7 +246,7 @@
 
     def count_excess(self) -> int:
         """Count the targets with more slots in use than their share."""
-        return sum(pool.board.count_excess() for pool in self._pools.values())
+        return sum(pool.group.count_excess() for pool in self._pools.values())
 
     def acknowledge(self) -> Acknowledgement:
         """Return the revisions in force and the targets to report."""
@@ -254,11 +254,11 @@
         excess: list[str] = []
         unhealthy: list[str] = []
         for pool in self._pools.values():
-            pool_busy, pool_excess = pool.board.list_excess()
+            pool_busy, pool_excess = pool.group.list_excess()
             busy.extend(pool_busy)
             excess.extend(pool_excess)
-            if pool.board.ejected:
-                unhealthy.extend(pool.board.list_ejected())
+            if pool.group.ejected:
+                unhealthy.extend(pool.group.list_ejected())
         view = self._view
         return Acknowledgement(
             configuration_revision=view.configuration_revision if view else 0,
@@ -271,7 +271,7 @@
     def is_pending(self) -> bool:
         """Return whether jobs or targets wait for a deadline or a probe."""
         return any(
-            pool.waiting or pool.board.ejected for pool in self._pools.values()
+            pool.waiting or pool.group.ejected for pool in self._pools.values()
         )
 
     def count(self) -> Counts:
@@ -280,7 +280,7 @@
         return Counts(
             waiting=sum(pool.waiting for pool in pools),
             running=sum(pool.running for pool in pools),
-            ejected=sum(pool.board.ejected for pool in pools),
+            ejected=sum(pool.group.ejected for pool in pools),
         )
 
     def _apply_pools(self, view: View) -> list[decisions.Ended]:
@@ -289,13 +289,13 @@
         for name, policy in view.configuration.pools.items():
             pool = self._pools.get(name)
             if pool is None:
-                board = boards.Board(self._policy, rng=self._rng)
-                pool = scheduler.PoolScheduler(board, policy)
+                group = groups.TargetGroup(self._policy, rng=self._rng)
+                pool = scheduler.PoolScheduler(group, policy)
                 self._pools[name] = pool
                 self._budgets[name] = budget.RetryBudget(self._retry_ratio)
             pool.set_policy(policy)
         for name, pool in self._pools.items():
-            pool.board.update(allotments.get(name, {}))
+            pool.group.update(allotments.get(name, {}))
             if name not in view.configuration.pools:
                 ended.extend(pool.refuse_waiting(_POOL_REMOVED))
         self._apply_workspaces(view)
@@ -326,18 +326,18 @@
 
 def compute_allotments(
     hall: record.Hall, entry: str
-) -> dict[str, dict[str, boards.Allotment]]:
+) -> dict[str, dict[str, groups.Allotment]]:
     """Return an entry's allotments on targets, by pool and VM.
 
     :param hall: Record of the hall.
     :param entry: Identity of the entry's VM.
     """
-    allotments: dict[str, dict[str, boards.Allotment]] = {}
+    allotments: dict[str, dict[str, groups.Allotment]] = {}
     for vm, target in hall.targets.items():
         if target.state is not record.State.SERVING:
             continue
         share = shares.compute_share(hall.division, vm, target.slots, entry)
-        allotments.setdefault(target.pool, {})[vm] = boards.Allotment(
+        allotments.setdefault(target.pool, {})[vm] = groups.Allotment(
             host=target.host, port=target.port, share=share
         )
     return allotments
--- a/src/rackvalve/requests/decisions.py
+++ b/src/rackvalve/requests/decisions.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from rackvalve.requests import job as jobs
-    from rackvalve.targets import board as boards
+    from rackvalve.targets import group as groups
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
@@ -36,7 +36,7 @@
     port: int
     waited: float
     expected_run: float
-    choice: boards.Choice
+    choice: groups.Choice
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
--- a/src/rackvalve/requests/scheduler.py
+++ b/src/rackvalve/requests/scheduler.py
@@ -19,7 +19,7 @@
 from rackvalve.requests import estimates
 from rackvalve.requests import job as jobs
 from rackvalve.requests import queue
-from rackvalve.targets import board as boards
+from rackvalve.targets import group as groups
 
 if TYPE_CHECKING:
     from collections.abc import Collection
@@ -72,12 +72,12 @@
 class PoolScheduler:
     """Scheduler of the jobs of one pool at one entry.
 
-    :param board: The pool's targets.
+    :param group: The pool's targets.
     :param policy: The pool's configuration.
     """
 
     __slots__ = (
-        "board",
+        "group",
         "_policy",
         "_estimates",
         "_classes",
@@ -90,8 +90,10 @@
         "_excluded",
     )
 
-    def __init__(self, board: boards.Board, policy: document.Pool) -> None:
-        self.board = board
+    def __init__(
+        self, group: groups.TargetGroup, policy: document.Pool
+    ) -> None:
+        self.group = group
         self._policy = policy
         self._estimates = estimates.Estimates()
         self._classes = {QUICK: _ClassState(), LONG: _ClassState()}
@@ -154,7 +156,7 @@
                 reason=outcomes.Reason.QUOTA_ZERO,
                 detail=f"{jobs.WORKSPACE_HEADER}: the workspace's quota is 0",
             )
-        if not self.board.has_targets():
+        if not self.group.has_targets():
             return outcomes.Refused(
                 reason=outcomes.Reason.NO_TARGET,
                 detail=f"{jobs.POOL_HEADER}: no target at this entry",
@@ -192,7 +194,7 @@
         self._excluded[job.number] = excluded
         return self._add_waiting(account, job, cost, now, first=True)
 
-    def finish(self, attempt: int, result: boards.Result, now: float) -> None:
+    def finish(self, attempt: int, result: groups.Result, now: float) -> None:
         """Record that an attempt ended, and free its slot.
 
         :param attempt: Number of the attempt.
@@ -205,8 +207,8 @@
         slowness = None
         if run.trusted:
             slowness = length / max(run.cost, estimates.MIN_RUN_S)
-        self.board.release(run.vm, result, slowness, now)
-        if result is boards.Result.GOOD:
+        self.group.release(run.vm, result, slowness, now)
+        if result is groups.Result.GOOD:
             self._estimates.observe(job.workspace, job.job_class.value, length)
         # Corrects the charge: only the time used counts against the share.
         self._charge(job, run.account, length - run.cost)
@@ -222,7 +224,7 @@
         """
         run = self._runs.get(attempt)
         if run is not None:
-            self.board.count_unanswered(run.vm, now)
+            self.group.count_unanswered(run.vm, now)
 
     def cancel(self, job: jobs.Job) -> bool:
         """Remove a waiting job.
@@ -370,7 +372,7 @@
     ) -> decisions.Started | None:
         if not self._has_class_slot(job.job_class):
             return None
-        choice = self.board.choose(excluded)
+        choice = self.group.choose(excluded)
         if choice is None:
             return None
         target = choice.target
@@ -438,14 +440,14 @@
         return self._classes[LONG].running < self._count_long_slots()
 
     def _count_long_slots(self) -> int:
-        slots = self.board.slots
+        slots = self.group.slots
         reserved = math.ceil(slots * self._policy.quick_reserved)
         # Long jobs keep one slot even if all are reserved, as with a single
         # slot: they could never start otherwise.
         return max(slots - reserved, min(slots, 1))
 
     def _count_class_slots(self, job_class: jobs.Class) -> float:
-        slots = max(self.board.slots, 1)
+        slots = max(self.group.slots, 1)
         guaranteed = slots * self._policy.long_guaranteed
         if job_class is QUICK:
             held = self._classes[LONG].running
--- a/src/rackvalve/targets/board.py
+++ b/src/rackvalve/targets/group.py
@@ -134,7 +134,7 @@
         self.open_targets = open_targets
 
 
-class Board:
+class TargetGroup:
     """All targets of one pool.
 
     :param policy: When targets are ejected.
--- a/tools/baselines/fifo.py
+++ b/tools/baselines/fifo.py
@@ -5,14 +5,14 @@
 import collections
 
 from rackvalve.requests import decisions
-from rackvalve.targets import board as boards
+from rackvalve.targets import group as groups
 
 
 class FifoScheduler:
     """Has the interface of the pool scheduler that tests use."""
 
-    def __init__(self, board, policy):
-        self.board = board
+    def __init__(self, group, policy):
+        self.group = group
         self._queue = collections.OrderedDict()
         self._runs = {}
         self._attempts = 0
@@ -42,7 +42,7 @@
     def finish(self, attempt, result, now):
         """Free a slot."""
         vm = self._runs.pop(attempt)
-        self.board.release(vm, result, None, now)
+        self.group.release(vm, result, None, now)
 
     def cancel(self, job):
         """Take out a waiting job."""
@@ -52,7 +52,7 @@
         """Start the oldest jobs while a slot is free."""
         started = []
         while self._queue:
-            choice = self.board.choose(frozenset())
+            choice = self.group.choose(frozenset())
             if choice is None:
                 break
             _, job = self._queue.popitem(last=False)
@@ -73,7 +73,7 @@
         return started
 
 
-class ScanBoard(boards.Board):
+class ScanGroup(groups.TargetGroup):
     """Chooses a target by looking at all of them."""
 
     def choose(self, excluded):
@@ -86,7 +86,7 @@
         if not free:
             return None
         best = min(free, key=lambda target: target.load)
-        choice = boards.Choice(
+        choice = groups.Choice(
             best, load=best.load, other=None, open_targets=len(free)
         )
         best.in_use += 1
--- a/tools/experiments/capacity.py
+++ b/tools/experiments/capacity.py
@@ -15,7 +15,7 @@
 from rackvalve.keyvalue import packing
 from rackvalve.requests import admission as admissions
 from rackvalve.requests import keys
-from rackvalve.targets import board
+from rackvalve.targets import group
 from tools.experiments import figures
 from tools import fleet as fleets
 
@@ -120,7 +120,7 @@
 
 def apply(view):
     """Apply a view at an entry that starts."""
-    policy = board.Policy(failures=5, time=5.0, cap=0.5)
+    policy = group.Policy(failures=5, time=5.0, cap=0.5)
     admission = admissions.Admission(
         "north-entry-0",
         policy=policy,
--- a/tools/experiments/cores.py
+++ b/tools/experiments/cores.py
@@ -9,7 +9,7 @@
 from rackvalve.configuration import document
 from rackvalve.requests import job as jobs
 from rackvalve.requests import scheduler
-from rackvalve.targets import board as boards
+from rackvalve.targets import group as groups
 from tools.baselines import fifo
 from tools.experiments import figures
 from tools import poolsim
@@ -30,10 +30,10 @@
     yield from measure_expectation(seed)
 
 
-def time_decisions(targets, board_class, seed):
+def time_decisions(targets, group_class, seed):
     """Return the time of one decision, in microseconds."""
-    board = poolsim.make_board(targets, 4, seed=seed, board_class=board_class)
-    pool = scheduler.PoolScheduler(board, document.Pool())
+    group = poolsim.make_group(targets, 4, seed=seed, group_class=group_class)
+    pool = scheduler.PoolScheduler(group, document.Pool())
     pool.set_account("ws", 1.0, None)
     made = [
         poolsim.make_job(number, "ws", QUICK, 0.0)
@@ -42,7 +42,7 @@
     started = time.perf_counter()
     for job in made:
         decision = pool.submit(job, 0.0)
-        pool.finish(decision.attempt, boards.Result.GOOD, 0.01)
+        pool.finish(decision.attempt, groups.Result.GOOD, 0.01)
     return (time.perf_counter() - started) / DECISIONS * 1e6
 
 
@@ -51,8 +51,8 @@
     for targets in (8, 320, 3200):
         pairs = [
             (
-                time_decisions(targets, boards.Board, seed),
-                time_decisions(targets, fifo.ScanBoard, seed),
+                time_decisions(targets, groups.TargetGroup, seed),
+                time_decisions(targets, fifo.ScanGroup, seed),
             )
             for _ in range(3)
         ]
--- a/tools/poolsim.py
+++ b/tools/poolsim.py
@@ -13,21 +13,21 @@
 from rackvalve.requests import decisions
 from rackvalve.requests import job as jobs
 from rackvalve.requests import scheduler
-from rackvalve.targets import board as boards
+from rackvalve.targets import group as groups
 
-POLICY = boards.Policy(failures=5, time=5.0, cap=0.5)
+POLICY = groups.Policy(failures=5, time=5.0, cap=0.5)
 
 
-def make_board(targets, slots, *, seed=1, board_class=boards.Board):
-    """Make a board of equal targets."""
-    board = board_class(POLICY, rng=random.Random(seed))
-    board.update(
+def make_group(targets, slots, *, seed=1, group_class=groups.TargetGroup):
+    """Make a group of equal targets."""
+    group = group_class(POLICY, rng=random.Random(seed))
+    group.update(
         {
-            f"vm-{number}": boards.Allotment(host="h", port=1, share=slots)
+            f"vm-{number}": groups.Allotment(host="h", port=1, share=slots)
             for number in range(targets)
         }
     )
-    return board
+    return group
 
 
 def make_job(number, workspace, job_class, now, *, deadline=1e9, run=None):
@@ -85,7 +85,7 @@
                 self._arrive(value, now)
             else:
                 self.freed_at.append(now)
-                self.pool.finish(value, boards.Result.GOOD, now)
+                self.pool.finish(value, groups.Result.GOOD, now)
                 self._start_all(self.pool.dispatch(now), now)
         return self
 
@@ -127,7 +127,7 @@
     """Make a pool scheduler with accounts."""
     limits = {"queue_limit": 10**6, "workspace_queue_limit": 10**6}
     pool = kind(
-        make_board(targets, slots), document.Pool(**{**limits, **policy})
+        make_group(targets, slots), document.Pool(**{**limits, **policy})
     )
     for workspace, weight in weights.items():
         pool.set_account(workspace, float(weight), None)
