--- a/features/steps/scheduling_steps.py
+++ b/features/steps/scheduling_steps.py
@@ -302,8 +302,8 @@
     context.group.choose(())
     context.group.release("vm-0", groups.Result.FAILED, None, 0.0)
     assert context.group.choose(()) is None
-    assert context.group.list_due(0.5) == []
-    assert [t.vm for t in context.group.list_due(1.5)] == ["vm-0"]
+    assert context.group.pop_due(0.5) == []
+    assert [t.vm for t in context.group.pop_due(1.5)] == ["vm-0"]
     context.group.conclude_probe("vm-0", True, 1.5)
 
 
--- a/src/rackvalve/entry/dispatcher.py
+++ b/src/rackvalve/entry/dispatcher.py
@@ -165,7 +165,7 @@
     now = task._clock()
     for name, pool in task._admission.pools.items():
         task._collect(name, now)
-        for target in pool.group.list_due(now):
+        for target in pool.group.pop_due(now):
             allotment = target.allotment
             task._probe(name, target.vm, allotment.host, allotment.port)
 
--- a/src/rackvalve/targets/group.py
+++ b/src/rackvalve/targets/group.py
@@ -289,7 +289,7 @@
         self._slots += target.usable - before
         self._place(target)
 
-    def list_due(self, now: float) -> list[Target]:
+    def pop_due(self, now: float) -> list[Target]:
         """Take the ejected targets whose time is over, to be probed.
 
         :param now: Present time, in seconds.
