--- a/src/rackvalve/targets/group.py
+++ b/src/rackvalve/targets/group.py
@@ -245,7 +245,7 @@
             open_targets=len(self._open),
         )
         best.in_use += 1
-        self._place(best)
+        self._update_open(best)
         return choice
 
     def release(
@@ -270,7 +270,7 @@
             target.failures += 1
             self._consider_ejection(target, now)
         self._slots += target.usable - before
-        self._place(target)
+        self._update_open(target)
         if target.in_use == 0 and target.allotment.share == 0:
             self._forget(target)
 
@@ -287,7 +287,7 @@
         target.failures += 1
         self._consider_ejection(target, now)
         self._slots += target.usable - before
-        self._place(target)
+        self._update_open(target)
 
     def pop_due(self, now: float) -> list[Target]:
         """Take the ejected targets whose time is over, to be probed.
@@ -322,7 +322,7 @@
         target.slowness = 1.0
         self._ejected -= 1
         self._slots += target.usable
-        self._place(target)
+        self._update_open(target)
 
     def get_targets(self) -> Mapping[str, Target]:
         """Return the targets by VM identity, for queries."""
@@ -335,7 +335,7 @@
             target.limit = float(allotment.share)
         target.allotment = allotment
         self._slots += target.usable - before
-        self._place(target)
+        self._update_open(target)
         if target.in_use == 0 and allotment.share == 0:
             self._forget(target)
 
@@ -375,7 +375,7 @@
         target.ejected_until = now + length
         heapq.heappush(self._returns, (target.ejected_until, target.vm))
 
-    def _place(self, target: Target) -> None:
+    def _update_open(self, target: Target) -> None:
         """Keep the list of open targets, and that of overused ones."""
         if target.in_use > target.allotment.share:
             self._over.add(target.vm)
--- a/tools/baselines/fifo.py
+++ b/tools/baselines/fifo.py
@@ -90,5 +90,5 @@
             best, load=best.load, other=None, open_targets=len(free)
         )
         best.in_use += 1
-        self._place(best)
+        self._update_open(best)
         return choice
