--- a/src/rackvalve/targets/__init__.py
+++ b/src/rackvalve/targets/__init__.py
@@ -1,1 +1,1 @@
-"""Targets of a pool as one entry sees them: use, health and choice."""
+"""Load balancing over a pool's targets at one entry, and retry budgets."""
--- a/src/rackvalve/targets/budget.py
+++ b/src/rackvalve/targets/budget.py
@@ -1,15 +1,15 @@
-"""The retry budget of a pool: retries are a bounded share of the load."""
+"""Retry budget of a pool, which limits retries to a share of the load."""
 
 from __future__ import annotations
 
-RESERVE = 10.0
+MAX_TOKENS = 10.0
 
 
 class RetryBudget:
-    """A token bucket that first attempts fill and retries empty.
+    """Token bucket that first attempts fill and retries empty.
 
-    It starts full: until a bad target is ejected, some requests that met
-    it find another one even where there is little traffic.
+    It starts full, so that requests that fail on a bad target before its
+    ejection can be retried on another one even with little traffic.
 
     :param ratio: Retries allowed for each first attempt.
     """
@@ -18,14 +18,14 @@
 
     def __init__(self, ratio: float) -> None:
         self._ratio = ratio
-        self._tokens = RESERVE
+        self._tokens = MAX_TOKENS
 
     def count_attempt(self) -> None:
         """Count a first attempt."""
-        self._tokens = min(RESERVE, self._tokens + self._ratio)
+        self._tokens = min(MAX_TOKENS, self._tokens + self._ratio)
 
     def take(self) -> bool:
-        """Take the right to one retry, if there is one."""
+        """Take one token for a retry; return whether there was one."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/src/rackvalve/targets/group.py
+++ b/src/rackvalve/targets/group.py
@@ -1,8 +1,9 @@
-"""The targets of one pool as one entry sees them.
+"""Group of the targets of one pool, with load balancing at one entry.
 
-Keeps what the entry uses of each target, its health, and the limit that
-adapts to it.  A target is chosen in constant time: of two open targets
-taken at random, the one with the smaller part of its limit in use.
+The pool's scheduler uses it.  It counts the entry's slots in use on each
+target, ejects failing targets and adapts a concurrency limit to the speed of
+each target.  A target is chosen in constant time: of two random open targets,
+the one with the smaller part of its limit in use.
 """
 
 from __future__ import annotations
@@ -18,17 +19,17 @@
     from collections.abc import Mapping
 
 SLOW_RATIO = 2.0
-STEADY_RATIO = 1.3
+NORMAL_RATIO = 1.3
 SMOOTHING = 0.2
-TYPICAL_SMOOTHING = 0.05
-LEAST_SLOWNESS = 1e-3
-SHRINK_FACTOR = 0.75
-EJECT_DOUBLINGS = 6
-SEARCH_TRIES = 8
+POOL_SMOOTHING = 0.05
+MIN_SLOWNESS = 1e-3
+LIMIT_DECREASE_FACTOR = 0.75
+MAX_EJECTION_DOUBLINGS = 6
+MAX_REDRAWS = 8
 
 
 class Result(enum.Enum):
-    """How a target dealt with one attempt."""
+    """How a target handled one attempt."""
 
     GOOD = "good"
     FAILED = "failed"
@@ -38,11 +39,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Policy:
-    """When a target is ejected.
+    """Rules for the ejection of failing targets.
 
-    :param failures: Failures in a row that eject a target.
+    :param failures: Consecutive failures that eject a target.
     :param time: Length of the first ejection, in seconds.
-    :param cap: Largest share of the targets that is ejected at once.
+    :param cap: Maximum share of the targets ejected at once.
     """
 
     failures: int
@@ -52,7 +53,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Allotment:
-    """An entry's right on one target.
+    """Share of one target's slots that an entry may use.
 
     :param host: IP number of the target.
     :param port: Port of the target.
@@ -65,10 +66,10 @@
 
 
 class Target:
-    """One target's use and health.
+    """Slots in use, limit and health of one target.
 
     :param vm: Identity of the VM.
-    :param allotment: The entry's right on it.
+    :param allotment: The entry's share of its slots.
     """
 
     __slots__ = (
@@ -96,7 +97,7 @@
 
     @property
     def usable(self) -> int:
-        """Slots that may be in use at once now."""
+        """Number of slots that may be in use at once at present."""
         if self.ejected_until is not None:
             return 0
         if self.allotment.share == 0:
@@ -105,17 +106,17 @@
 
     @property
     def load(self) -> float:
-        """Part of the usable slots that is in use."""
+        """Slots in use as a part of the usable slots."""
         return self.in_use / self.usable
 
 
 class Choice:
-    """A target that was chosen, and among how many.
+    """The chosen target and the basis of the choice.
 
-    :param target: The target; its slot is taken.
-    :param load: Part of its slots in use before.
-    :param other: The target that it was weighed against, if any.
-    :param open_targets: Targets that had a free slot.
+    :param target: The target, with one more slot in use.
+    :param load: Its load before the choice.
+    :param other: The target that it was compared with, if any.
+    :param open_targets: Number of targets that had a free slot.
     """
 
     __slots__ = ("target", "load", "other", "open_targets")
@@ -135,9 +136,9 @@
 
 
 class TargetGroup:
-    """All targets of one pool.
+    """All targets of one pool, with their health and load balancing.
 
-    :param policy: When targets are ejected.
+    :param policy: Rules for the ejection of targets.
     :param rng: Source of the random choices.
     """
 
@@ -148,9 +149,9 @@
         "_open",
         "_ejected",
         "_slots",
-        "_returns",
-        "_over",
-        "_typical",
+        "_probe_times",
+        "_overused",
+        "_pool_slowness",
     )
 
     def __init__(self, policy: Policy, *, rng: random.Random) -> None:
@@ -160,14 +161,14 @@
         self._open: list[Target] = []
         self._ejected = 0
         self._slots = 0
-        self._returns: list[tuple[float, str]] = []
-        self._over: set[str] = set()
-        # Slowness of the targets taken together.
-        self._typical = 1.0
+        self._probe_times: list[tuple[float, str]] = []
+        self._overused: set[str] = set()
+        # Smoothed slowness over all targets of the pool.
+        self._pool_slowness = 1.0
 
     @property
     def slots(self) -> int:
-        """Slots usable over all targets, free or not."""
+        """Number of usable slots over all targets, free or not."""
         return self._slots
 
     @property
@@ -176,20 +177,20 @@
         return self._ejected
 
     def has_targets(self) -> bool:
-        """Return whether any target allots a slot to this entry."""
+        """Return whether this entry has a slot on any target."""
         return any(
             target.allotment.share > 0 for target in self._targets.values()
         )
 
     def update(self, allotments: Mapping[str, Allotment]) -> None:
-        """Take new rights in place of the present ones.
+        """Replace the allotments.
 
-        :param allotments: The rights by VM identity; a target that is not
-            named gives none.
+        :param allotments: The allotments by VM identity; a target that is
+            not named has a share of 0.
         """
         for vm, target in list(self._targets.items()):
             if vm not in allotments:
-                self._allot(target, dataclasses.replace(
+                self._set_allotment(target, dataclasses.replace(
                     target.allotment, share=0))  # fmt: skip
         for vm, allotment in allotments.items():
             known = self._targets.get(vm)
@@ -199,7 +200,7 @@
                 ))  # fmt: skip
                 known.limit = float(allotment.share)
                 self._targets[vm] = known
-            self._allot(known, allotment)
+            self._set_allotment(known, allotment)
 
     def list_ejected(self) -> list[str]:
         """List the ejected targets."""
@@ -210,17 +211,17 @@
         ]
 
     def count_excess(self) -> int:
-        """Count the targets on which more is in use than rights allow."""
-        return len(self._over)
+        """Count the targets with more slots in use than their share."""
+        return len(self._overused)
 
     def list_excess(self) -> tuple[list[str], list[str]]:
-        """List targets on which more is in use than the rights allow.
+        """List the targets with more slots in use than their share.
 
-        :return: Targets without any right, and targets over their share.
+        :return: Targets with a share of 0, and targets over a larger share.
         """
         busy: list[str] = []
         excess: list[str] = []
-        for vm in sorted(self._over):
+        for vm in sorted(self._overused):
             share = self._targets[vm].allotment.share
             (busy if share == 0 else excess).append(vm)
         return busy, excess
@@ -228,13 +229,14 @@
     def choose(self, excluded: Collection[str]) -> Choice | None:
         """Choose a target with a free slot and take the slot.
 
-        :param excluded: Targets not to choose if another is found open.
+        :param excluded: Targets to avoid; one is chosen nevertheless if the
+            random draws find no other open target.
         :return: The choice, or ``None`` if no slot is free.
         """
         if not self._open:
             return None
-        first = self._draw(excluded)
-        second = self._draw(excluded)
+        first = self._pick_random(excluded)
+        second = self._pick_random(excluded)
         best, other = first, second
         if second.load < first.load:
             best, other = second, first
@@ -251,12 +253,12 @@
     def release(
         self, vm: str, result: Result, slowness: float | None, now: float
     ) -> None:
-        """Give a slot back and learn from the attempt.
+        """Free a slot and update the target's limit and health.
 
         :param vm: The target.
-        :param result: How the target dealt with it.
-        :param slowness: Time that the attempt took, as a multiple of what
-            was expected; ``None`` if that is not known.
+        :param result: How the target handled the attempt.
+        :param slowness: Time that the attempt took, as a multiple of the
+            expected time; ``None`` if that is not reliable.
         :param now: Present time, in seconds.
         """
         target = self._targets[vm]
@@ -265,19 +267,19 @@
         if result is Result.GOOD:
             target.failures = 0
             target.ejections = 0
-            self._adapt(target, slowness)
+            self._adapt_limit(target, slowness)
         elif result is not Result.ABANDONED:
             target.failures += 1
             self._consider_ejection(target, now)
         self._slots += target.usable - before
         self._update_open(target)
         if target.in_use == 0 and target.allotment.share == 0:
-            self._forget(target)
+            self._remove(target)
 
     def count_unanswered(self, vm: str, now: float) -> None:
-        """Count an attempt that stays unanswered, without its slot.
+        """Count an unanswered attempt as a failure; its slot stays in use.
 
-        :param vm: The target; nothing happens if it is unknown.
+        :param vm: The target; an unknown one is ignored.
         :param now: Present time, in seconds.
         """
         target = self._targets.get(vm)
@@ -290,20 +292,20 @@
         self._update_open(target)
 
     def pop_due(self, now: float) -> list[Target]:
-        """Take the ejected targets whose time is over, to be probed.
+        """Dequeue the ejected targets that are due for a probe.
 
         :param now: Present time, in seconds.
         """
         due = []
-        while self._returns and self._returns[0][0] <= now:
-            when, vm = heapq.heappop(self._returns)
+        while self._probe_times and self._probe_times[0][0] <= now:
+            when, vm = heapq.heappop(self._probe_times)
             target = self._targets.get(vm)
             if target is not None and target.ejected_until == when:
                 due.append(target)
         return due
 
     def conclude_probe(self, vm: str, healthy: bool, now: float) -> None:
-        """Return a target to service, or eject it anew.
+        """Return a target to service, or eject it again.
 
         :param vm: The target.
         :param healthy: Whether the probe was answered.
@@ -317,7 +319,8 @@
             return
         target.ejected_until = None
         target.failures = 0
-        # A target that comes back starts with one slot and earns the rest.
+        # A returning target starts with one slot, and its limit grows with
+        # each good attempt while its speed is normal.
         target.limit = 1.0
         target.slowness = 1.0
         self._ejected -= 1
@@ -328,36 +331,39 @@
         """Return the targets by VM identity, for queries."""
         return self._targets
 
-    def _allot(self, target: Target, allotment: Allotment) -> None:
+    def _set_allotment(self, target: Target, allotment: Allotment) -> None:
         before = target.usable
-        grown = allotment.share - target.allotment.share
-        if target.limit >= target.allotment.share and grown > 0:
+        growth = allotment.share - target.allotment.share
+        if target.limit >= target.allotment.share and growth > 0:
             target.limit = float(allotment.share)
         target.allotment = allotment
         self._slots += target.usable - before
         self._update_open(target)
         if target.in_use == 0 and allotment.share == 0:
-            self._forget(target)
+            self._remove(target)
 
-    def _forget(self, target: Target) -> None:
+    def _remove(self, target: Target) -> None:
         if target.ejected_until is not None:
             self._ejected -= 1
         del self._targets[target.vm]
 
-    def _adapt(self, target: Target, slowness: float | None) -> None:
-        """Let a target's limit follow its speed beside the others'.
+    def _adapt_limit(self, target: Target, slowness: float | None) -> None:
+        """Adapt a target's limit to its speed relative to the pool.
 
-        Work that has become longer everywhere makes no target slow.
+        Compares with the pool, so that attempts that take longer on all
+        targets make no target slow.
         """
         if slowness is not None:
             target.slowness += SMOOTHING * (slowness - target.slowness)
-            self._typical += TYPICAL_SMOOTHING * (slowness - self._typical)
-        relative = target.slowness / max(self._typical, LEAST_SLOWNESS)
+            self._pool_slowness += POOL_SMOOTHING * (
+                slowness - self._pool_slowness
+            )
+        relative = target.slowness / max(self._pool_slowness, MIN_SLOWNESS)
         if relative > SLOW_RATIO:
-            target.limit = max(1.0, target.limit * SHRINK_FACTOR)
-        elif relative < STEADY_RATIO:
-            grown = target.limit + 1.0 / max(1.0, target.limit)
-            target.limit = min(float(target.allotment.share), grown)
+            target.limit = max(1.0, target.limit * LIMIT_DECREASE_FACTOR)
+        elif relative < NORMAL_RATIO:
+            raised = target.limit + 1.0 / max(1.0, target.limit)
+            target.limit = min(float(target.allotment.share), raised)
 
     def _consider_ejection(self, target: Target, now: float) -> None:
         if target.ejected_until is not None:
@@ -371,16 +377,16 @@
 
     def _eject(self, target: Target, now: float) -> None:
         length = self._policy.time * 2**target.ejections
-        target.ejections = min(target.ejections + 1, EJECT_DOUBLINGS)
+        target.ejections = min(target.ejections + 1, MAX_EJECTION_DOUBLINGS)
         target.ejected_until = now + length
-        heapq.heappush(self._returns, (target.ejected_until, target.vm))
+        heapq.heappush(self._probe_times, (target.ejected_until, target.vm))
 
     def _update_open(self, target: Target) -> None:
-        """Keep the list of open targets, and that of overused ones."""
+        """Update the list of open targets and the set of overused ones."""
         if target.in_use > target.allotment.share:
-            self._over.add(target.vm)
+            self._overused.add(target.vm)
         else:
-            self._over.discard(target.vm)
+            self._overused.discard(target.vm)
         is_open = target.in_use < target.usable
         if is_open and target.position < 0:
             target.position = len(self._open)
@@ -392,10 +398,10 @@
                 last.position = target.position
             target.position = -1
 
-    def _draw(self, excluded: Collection[str]) -> Target:
+    def _pick_random(self, excluded: Collection[str]) -> Target:
         candidate = self._rng.choice(self._open)
-        tries = SEARCH_TRIES if excluded else 0
-        while tries and candidate.vm in excluded:
+        redraws = MAX_REDRAWS if excluded else 0
+        while redraws and candidate.vm in excluded:
             candidate = self._rng.choice(self._open)
-            tries -= 1
+            redraws -= 1
         return candidate
