--- a/src/rackvalve/requests/admission.py
+++ b/src/rackvalve/requests/admission.py
@@ -131,7 +131,7 @@
         self._stopping = True
         refused = outcomes.Refused(
             reason=outcomes.Reason.STOPPING,
-            detail="this entry is stopping; send the request to another entry",
+            detail="this entry is leaving; another one serves",
             retry_after=scheduler.MIN_RETRY_AFTER_S,
         )
         return [
@@ -153,7 +153,7 @@
         if self._view is None:
             return outcomes.Refused(
                 reason=outcomes.Reason.NOT_CONFIGURED,
-                detail="this entry has not accepted a configuration yet",
+                detail="no configuration has been accepted here yet",
                 retry_after=scheduler.NO_TARGET_RETRY_AFTER_S,
             )
         configuration = self._view.configuration
@@ -161,17 +161,17 @@
         if workspace is None:
             return outcomes.Refused(
                 reason=outcomes.Reason.WORKSPACE_UNKNOWN,
-                detail=f"{jobs.WORKSPACE_HEADER}: not in the configuration",
+                detail=f"{jobs.WORKSPACE_HEADER}: unknown",
             )
         if job.pool not in configuration.pools:
             return outcomes.Refused(
                 reason=outcomes.Reason.POOL_UNKNOWN,
-                detail=f"{jobs.POOL_HEADER}: not in the configuration",
+                detail=f"{jobs.POOL_HEADER}: unknown",
             )
         if job.pool not in workspace.pools:
             return outcomes.Refused(
                 reason=outcomes.Reason.POOL_FORBIDDEN,
-                detail=f"{jobs.POOL_HEADER}: not allowed for this workspace",
+                detail=f"{jobs.POOL_HEADER}: not paid for by this workspace",
             )
         return None
 
--- a/src/rackvalve/requests/job.py
+++ b/src/rackvalve/requests/job.py
@@ -154,25 +154,23 @@
             return f"{header}: missing"
     for header in (WORKSPACE_HEADER, POOL_HEADER, KEY_HEADER):
         if header in values and not _TOKEN.fullmatch(values[header]):
-            return f"{header}: only letters, digits and '._:-' are allowed"
+            return f"{header}: not a word of letters, digits, '.', '_', ':'"
     choices = {
         CLASS_HEADER: [item.value for item in Class],
         REPEATABLE_HEADER: ["yes", "no"],
     }
     for header, allowed in choices.items():
         if header in values and values[header] not in allowed:
-            return f"{header}: must be one of {', '.join(allowed)}"
+            return f"{header}: not one of {', '.join(allowed)}"
     for header in (DEADLINE_HEADER, RUN_HEADER):
         text = values.get(header, "1")
         if not _DIGITS.fullmatch(text):
-            return f"{header}: must be a whole number of milliseconds"
+            return f"{header}: not a whole number of milliseconds"
         if not 1 <= int(text) <= MAX_DEADLINE_MS:
-            return f"{header}: must be from 1 to {MAX_DEADLINE_MS} ms"
+            return f"{header}: not from 1 to {MAX_DEADLINE_MS} milliseconds"
     request_id = values.get(REQUEST_ID_HEADER, "-")
     if len(request_id) > MAX_ID_LENGTH or not _TOKEN.fullmatch(request_id):
-        return (
-            f"{REQUEST_ID_HEADER}: not 1 to {MAX_ID_LENGTH} of A-Za-z0-9._:-"
-        )
+        return f"{REQUEST_ID_HEADER}: not a word of {MAX_ID_LENGTH} or less"
     return ""
 
 
--- a/src/rackvalve/requests/keys.py
+++ b/src/rackvalve/requests/keys.py
@@ -181,7 +181,7 @@
         if created < now - self._policy.lifetime:
             return _refuse(
                 outcomes.Reason.KEY_EXPIRED,
-                "is older than the allowed lifetime",
+                "is too old",
             )
         if created < self._started + 2 * self._policy.skew:
             return _refuse(
@@ -205,7 +205,7 @@
         if not all(self._owns(name, entries) for entries in present):
             return _refuse(
                 outcomes.Reason.OWNER_UNREACHABLE,
-                "is changing its owner; retry it",
+                "changes its owner now",
                 OWNER_CHANGE_RETRY_AFTER_S,
             )
         # Every division in force since the key was created must have named
--- a/src/rackvalve/requests/scheduler.py
+++ b/src/rackvalve/requests/scheduler.py
@@ -154,12 +154,12 @@
         if account.quota == 0:
             return outcomes.Refused(
                 reason=outcomes.Reason.QUOTA_ZERO,
-                detail=f"{jobs.WORKSPACE_HEADER}: the workspace's quota is 0",
+                detail=f"{jobs.WORKSPACE_HEADER}: its quota is 0",
             )
         if not self.group.has_targets():
             return outcomes.Refused(
                 reason=outcomes.Reason.NO_TARGET,
-                detail=f"{jobs.POOL_HEADER}: no target at this entry",
+                detail=f"{jobs.POOL_HEADER}: no target serves it here",
                 retry_after=NO_TARGET_RETRY_AFTER_S,
             )
         cost = self._predict(job)
@@ -334,7 +334,7 @@
         if now + WAIT_SAFETY_FACTOR * wait > self._find_latest_start(job):
             return outcomes.Refused(
                 reason=outcomes.Reason.DEADLINE_TOO_SHORT,
-                detail=f"{jobs.DEADLINE_HEADER}: too short for the wait",
+                detail=f"{jobs.DEADLINE_HEADER}: no place before it",
                 retry_after=retry_after,
             )
         return self._add_waiting(account, job, cost, now, first=False)
@@ -472,7 +472,7 @@
                 continue
             refused = outcomes.Refused(
                 reason=outcomes.Reason.DEADLINE_PASSED,
-                detail=f"{jobs.DEADLINE_HEADER}: passed in the queue",
+                detail=f"{jobs.DEADLINE_HEADER}: passed while it waited",
                 retry_after=max(self.estimate_wait(job), MIN_RETRY_AFTER_S),
             )
             ended.append(decisions.Ended(job=job, refused=refused))
