--- a/features/failures.feature
+++ b/features/failures.feature
@@ -27,7 +27,7 @@
     Then its second answer is a report, and a lease can be given
 
   # Each answer passes through all the code that handles it, from the client to the
-  # book.
+  # owner's view of the cluster.
   Scenario Outline: Odd answers of <peer> raise no error
     When 400 answers of <peer> are made odd
     Then each is taken or refused, without an error
--- a/features/job_bench.py
+++ b/features/job_bench.py
@@ -1,4 +1,4 @@
-"""A book whose workers answer as a test tells them to."""
+"""A cluster whose workers answer as a test tells them to."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 class Bench:
-    """A book with workers that answer as the test tells them to."""
+    """A cluster with workers that answer as the test tells them to."""
 
     def __init__(self, names, capacity=None, racks=None, labels=None):
         self.now = 1000.0
         made = cores.make_cores(self.now, inherited_lease=5.0)
-        self.book, self.handler = made.book, made.handler
+        self.cluster, self.handler = made.cluster, made.handler
         self.planner = made.planner
         self.numbers = dict.fromkeys(names, 0)
         for name in names:
-            self.book.set_entry(
+            self.cluster.set_entry(
                 fleet.Entry(
                     identity=name,
                     pool=models.POOL,
@@ -41,7 +41,7 @@
             self.report(name)
 
     def report(self, name, running=(), ended=()):
-        worker = self.book.workers[name]
+        worker = self.cluster.workers[name]
         rows = []
         for full, run, ending in ended:
             self.numbers[name] += 1
@@ -71,38 +71,38 @@
             definition.Job(spec="x", steps=tuple(steps), **fields),
             self.now,
         )
-        self.book.add_job(state, self.now, self.now)
+        self.cluster.add_job(state, self.now, self.now)
         return state
 
     def plan(self):
         """Plan, record, and have all starts confirmed."""
         self.planner.stop_and_release(self.now, self.now)
         self.planner.plan(self.now, self.now)
-        for state in self.book.jobs.values():
+        for state in self.cluster.jobs.values():
             planned = state.list_planned()
-            self.book.order_recorded(state.identity, planned, self.now)
+            self.cluster.order_recorded(state.identity, planned, self.now)
 
     def starts(self):
         """Take the starts ordered so far."""
         found = [
             order
-            for order in self.book.orders
+            for order in self.cluster.orders
             if isinstance(order, messages.StartRun)
         ]
         for order in found:
-            self.book.orders.remove(order)
+            self.cluster.orders.remove(order)
         return found
 
     def stops(self):
         return [
             order
-            for order in self.book.orders
+            for order in self.cluster.orders
             if isinstance(order, messages.StopRun)
         ]
 
     def confirm(self, order):
         placed = self.placed(order)
-        self.book.apply_start_result(
+        self.cluster.apply_start_result(
             placed,
             messages.StartResult.STARTED,
             uncertain=False,
@@ -111,17 +111,17 @@
         return placed
 
     def placed(self, order):
-        worker = self.book.workers[order.worker]
+        worker = self.cluster.workers[order.worker]
         return worker.runs[f"{order.job}.{order.task}", order.run]
 
     def placed_run(self, order):
         """Return the run that an order to stop names."""
-        return self.book.workers[order.worker].runs[order.task, order.run]
+        return self.cluster.workers[order.worker].runs[order.task, order.run]
 
     def end_life(self, name, proof="another life answers"):
         """Let a worker's life be over by a proof."""
         return endings.end_incarnation(
-            self.book, name, proof, now=self.now, wall=self.now
+            self.cluster, name, proof, now=self.now, wall=self.now
         )
 
     def start_all(self):
@@ -142,7 +142,7 @@
     def rows(self, name, without=None):
         """List what runs on a worker, with progress that moves."""
         found = []
-        for (full, run), placed in self.book.workers[name].runs.items():
+        for (full, run), placed in self.cluster.workers[name].runs.items():
             if without is not None and run == without.run:
                 continue
             found.append(
--- a/features/job_cores.py
+++ b/features/job_cores.py
@@ -1,4 +1,4 @@
-"""The product's book, reports and planner, put together for tests."""
+"""The product's cluster, reports and planner, put together for tests."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from features import job_models as models
 from rackvalve.manager import timing
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import planner as planners
 from rackvalve.scheduling import reports
 
@@ -15,12 +15,12 @@
 class Cores:
     """What decides over jobs, as an owner has it.
 
-    :param book: The book.
+    :param cluster: The owner's view of the cluster.
     :param handler: Applies reports to it.
     :param planner: Plans over it.
     """
 
-    book: books.Book
+    cluster: clusters.Cluster
     handler: reports.Handler
     planner: planners.Planner
 
@@ -32,20 +32,20 @@
     :param inherited_lease: How long runs of the owner before may go on, in
         seconds.
     """
-    book = books.Book(
+    cluster = clusters.Cluster(
         models.CONFIGURATION, inherited_lease=inherited_lease, now=now
     )
     return Cores(
-        book=book,
+        cluster=cluster,
         handler=reports.Handler(
-            book,
+            cluster,
             lease=timing.WORKER_LEASE_S,
             max_stop_time=0.0,
             hold_wait=timing.HOLD_WAIT_S,
             hold_most=timing.MAX_HOLD_S,
         ),
         planner=planners.Planner(
-            book,
+            cluster,
             planners.Limits(
                 freshness=timing.FRESHNESS_S,
                 entry_grace=timing.ENTRY_GRACE_S,
--- a/features/job_history.py
+++ b/features/job_history.py
@@ -1,12 +1,12 @@
 """Generated histories of jobs, owners and workers over the product's cores.
 
 The store, the workers and the network are small models with the platform's
-rules; all decisions are made by the product's own book, planner, reports and
-records.  Owners change while the old one is still running, orders and answers
-are lost or late, workers crash and are cut off from single owners.  VMs go off
-and come back, new incarnations are silent for a second, the platform's list is
-stale, and owners are paused while answers wait for them.  The checks use only
-what workers did.
+rules; all decisions are made by the product's own cluster view, planner,
+reports and records.  Owners change while the old one is still running, orders
+and answers are lost or late, workers crash and are cut off from single owners.
+VMs go off and come back, new incarnations are silent for a second, the
+platform's list is stale, and owners are paused while answers wait for them.
+The checks use only what workers did.
 """
 
 from __future__ import annotations
@@ -125,24 +125,24 @@
             self.finish_tasks(chance=0.5, fail=0.0)
             self.crash_by_tasks()
             owner.refresh()
-            for identity in list(owner.book.workers):
+            for identity in list(owner.cluster.workers):
                 owner.hold(identity, lose_answer=False)
             owner.plan()
             owner.write()
             self.deliver_all(owner)
         return [
             identity
-            for identity, state in owner.book.jobs.items()
+            for identity, state in owner.cluster.jobs.items()
             if not state.is_final
         ]
 
     def deliver_all(self, owner: owners.ActingOwner) -> None:
-        owner.planned.extend(owner.book.orders)
-        owner.book.orders.clear()
+        owner.planned.extend(owner.cluster.orders)
+        owner.cluster.orders.clear()
         owner.planned = [
             order
             for order in owner.planned
-            if order.worker in owner.book.workers
+            if order.worker in owner.cluster.workers
             and not owner.deliver(order, False)
         ]
 
@@ -202,7 +202,7 @@
             if owner.store.owner == owner.fence:
                 owner.refresh()
         elif kind == "hold":
-            for identity in list(owner.book.workers):
+            for identity in list(owner.cluster.workers):
                 if lost and self.rules.restarting:
                     self.delayed_calls.append(owner.make_late_hold(identity))
                 owner.hold(identity, lost)
@@ -223,7 +223,7 @@
         owner.take_answers()
         if owner.store.owner == owner.fence:
             owner.refresh()
-        for identity in list(owner.book.workers):
+        for identity in list(owner.cluster.workers):
             owner.hold(identity, lose_answer=False)
         owner.list_vms(self.source.uniform(0.0, self.rules.lag))
         owner.plan()
@@ -231,8 +231,8 @@
         self.deliver_all(owner)
 
     def send(self, owner: owners.ActingOwner, lost: bool) -> None:
-        owner.planned.extend(owner.book.orders)
-        owner.book.orders.clear()
+        owner.planned.extend(owner.cluster.orders)
+        owner.cluster.orders.clear()
         if not owner.planned:
             return
         order = owner.planned.pop(0)
@@ -243,7 +243,7 @@
             if until is not None:
                 full = f"{order.job}.{order.task}"
                 owner.uncertain.add((order.worker, full, order.run))
-                worker = owner.book.workers.get(order.worker)
+                worker = owner.cluster.workers.get(order.worker)
                 if worker is not None:
                     worker.note_extension(
                         self.world.now, timing.WORKER_LEASE_S
--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -64,38 +64,38 @@
         self.committed_revision = fence
         lease = owners.MAX_INHERITED_LEASE_S if rules.proof else 0.0
         made = cores.make_cores(world.now, inherited_lease=lease)
-        self.book, self.handler = made.book, made.handler
+        self.cluster, self.handler = made.cluster, made.handler
         self.planner = made.planner
-        self.maintenance = maintenance.MaintenancePlanner(self.book)
+        self.maintenance = maintenance.MaintenancePlanner(self.cluster)
         self.silence = failure_detector.FailureDetector(
-            self.book, self.maintenance
+            self.cluster, self.maintenance
         )
         if rules.keep_bound:
-            self.book.set_configuration(make_configuration(rules.bound))
+            self.cluster.set_configuration(make_configuration(rules.bound))
         self.refresh()
 
     def refresh(self) -> None:
         """Apply changes of jobs, cancels and workers, like the watches."""
         now = self.world.now
         for identity, payload in self.store.definitions.items():
-            if identity not in self.book.jobs:
+            if identity not in self.cluster.jobs:
                 state = records.read_definition("queue", identity, payload)
                 stored = self.store.progress.get(identity)
                 if stored is not None:
                     records.read_progress(state, stored, now)
-                self.book.add_job(state, now, now)
+                self.cluster.add_job(state, now, now)
         for identity in self.store.cancels:
-            self.book.cancel_job(identity, now)
+            self.cluster.cancel_job(identity, now)
         for fake in self.fakes.values():
-            known = self.book.workers.get(fake.identity)
+            known = self.cluster.workers.get(fake.identity)
             if fake.alive and (known is None or known.entry is None):
-                worker = self.book.set_entry(fake.entry())
-                self.book.remove_entry(fake.name, now, besides=worker)
+                worker = self.cluster.set_entry(fake.entry())
+                self.cluster.remove_entry(fake.name, now, besides=worker)
                 self.raise_token(worker)
 
     def raise_token(self, worker: workers.WorkerState) -> None:
         """Raise the token for an incarnation that has a predecessor."""
-        others = self.book.workers_by_name.find(worker.incarnation.worker)
+        others = self.cluster.workers_by_name.find(worker.incarnation.worker)
         if self.rules.raised and len(others) > 1:
             self.tokens.raise_for(worker, self.committed_revision)
 
@@ -110,8 +110,8 @@
     def make_late_hold(self, identity: str):
         """Return the worker's name and a hold that is carried out later."""
         name = incarnations.parse_incarnation(identity).worker
-        seen = self.book.workers[identity].find_acknowledged(self.durable)
-        token = self.tokens.find(self.book.workers[identity])
+        seen = self.cluster.workers[identity].find_acknowledged(self.durable)
+        token = self.tokens.find(self.cluster.workers[identity])
         now = self.world.now
         return name, lambda fake: fake.hold(token, seen, None, now)
 
@@ -120,13 +120,13 @@
     ):
         """Return the worker's name and a start that is carried out later."""
         name = incarnations.parse_incarnation(identity).worker
-        worker = self.book.workers.get(identity)
+        worker = self.cluster.workers.get(identity)
         token = self.fence if worker is None else self.tokens.find(worker)
         return name, lambda fake: fake.start(task, run, token, until)
 
     def write(self) -> None:
         """Commit all changed records, on condition of the ownership."""
-        if not self.book.changed:
+        if not self.cluster.changed:
             self.durable = self.writes
             return
         if self.store.owner != self.fence:
@@ -135,8 +135,8 @@
         self.heard = self.world.now
         self.store.revision += 1
         self.committed_revision = self.store.revision
-        for identity in list(self.book.changed):
-            state = self.book.jobs[identity]
+        for identity in list(self.cluster.changed):
+            state = self.cluster.jobs[identity]
             planned = state.list_planned()
             self.store.progress[identity] = records.write_progress(state)
             if state.phase is progress.Phase.RUNNING:
@@ -145,8 +145,8 @@
                 self.world.completed.add(identity)
             elif state.phase is progress.Phase.FAILED:
                 self.world.check_given_up(identity)
-            self.book.order_recorded(identity, planned, self.world.now)
-        self.book.changed.clear()
+            self.cluster.order_recorded(identity, planned, self.world.now)
+        self.cluster.changed.clear()
         self.durable = self.writes
 
     def plan(self) -> None:
@@ -159,17 +159,17 @@
         self.planner.stop_and_release(self.world.now, self.world.now)
         self.planner.plan(self.world.now, self.world.now)
         if not self.rules.record:
-            for identity in list(self.book.changed):
-                state = self.book.jobs[identity]
+            for identity in list(self.cluster.changed):
+                state = self.cluster.jobs[identity]
                 planned = state.list_planned()
-                self.book.order_recorded(identity, planned, self.world.now)
+                self.cluster.order_recorded(identity, planned, self.world.now)
 
     def list_vms(self, lag: float) -> None:
         self.listed = (self.platform.read(lag), self.world.now)
 
     def pause(self, seconds: float) -> None:
         """Stall for some time after sending a hold to each worker."""
-        for identity in list(self.book.workers):
+        for identity in list(self.cluster.workers):
             self.ask(identity)
         self.paused_until = self.world.now + seconds
 
@@ -188,7 +188,7 @@
     def ask(self, identity: str) -> None:
         """Hold a worker; its answer is handled later."""
         fake = self.find_fake(identity)
-        worker = self.book.workers.get(identity)
+        worker = self.cluster.workers.get(identity)
         if worker is None or worker.location is None or self.deposed:
             return
         is_asking = self.rules.asking or self.rules.restarting
@@ -200,7 +200,7 @@
             vm = worker.location.vm
             if reachable and self.platform.is_replaced(vm, name):
                 endings.end_incarnation(
-                    self.book,
+                    self.cluster,
                     identity,
                     "another life answers",
                     now=self.world.now,
@@ -210,7 +210,7 @@
         if fake.identity != identity:
             if reachable and fake.answers:
                 later = worker_restarts.note_replaced(
-                    self.book, worker, fake.born, self.world.now
+                    self.cluster, worker, fake.born, self.world.now
                 )
                 if later is not None:
                     self.raise_token(later)
@@ -237,7 +237,7 @@
 
     def take_answers(self) -> None:
         for identity, report, clock in self.answers:
-            worker = self.book.workers.get(identity)
+            worker = self.cluster.workers.get(identity)
             if worker is None or self.deposed:
                 continue
             known = self.clocks.setdefault(
@@ -250,7 +250,7 @@
             self.writes += 1
             worker.note_write(self.writes)
         self.answers.clear()
-        if not self.book.changed:
+        if not self.cluster.changed:
             self.durable = self.writes
 
     def deliver(self, order: messages.Order, lose_answer: bool) -> bool:
@@ -261,7 +261,7 @@
         fake = self.find_fake(order.worker)
         if fake is None or not fake.answers or fake.name in self.unreachable:
             return False
-        worker = self.book.workers.get(order.worker)
+        worker = self.cluster.workers.get(order.worker)
         if fake.identity != order.worker or worker is None:
             return False
         if isinstance(order, messages.StopRun):
@@ -270,7 +270,7 @@
             if lose_answer:
                 return False
             if taken:
-                self.book.confirm_stop(
+                self.cluster.confirm_stop(
                     order.worker, (order.task, order.run), self.world.now
                 )
             else:
@@ -283,7 +283,7 @@
     ) -> workers.PlacedRun | None:
         """Return the run of an order to start; ``None`` if it is over."""
         full = f"{order.job}.{order.task}"
-        worker = self.book.workers.get(order.worker)
+        worker = self.cluster.workers.get(order.worker)
         placed = worker.runs.get((full, order.run)) if worker else None
         if placed is None or placed.run.stop_wanted:
             return None
@@ -291,7 +291,7 @@
 
     def deliver_start(self, order, fake, lose_answer: bool) -> bool:
         full = f"{order.job}.{order.task}"
-        worker = self.book.workers.get(order.worker)
+        worker = self.cluster.workers.get(order.worker)
         placed = self.find_wanted(order)
         if placed is None:
             return True
@@ -308,7 +308,7 @@
         if result is None:
             self.note_refused(worker)
             return self.deposed
-        self.book.apply_start_result(
+        self.cluster.apply_start_result(
             placed,
             result,
             uncertain=key in self.uncertain,
--- a/features/steps/bound_steps.py
+++ b/features/steps/bound_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the bounds of workspaces, over the product's book."""
+"""Steps about the bounds of workspaces, over the product's cluster."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         )
         for name in NAMES
     )
-    bench.book.set_configuration(
+    bench.cluster.set_configuration(
         dataclasses.replace(models.CONFIGURATION, workspaces=workspaces)
     )
 
@@ -48,7 +48,7 @@
 
 
 def add(bench, workspace, step, number=None):
-    number = len(bench.book.jobs) if number is None else number
+    number = len(bench.cluster.jobs) if number is None else number
     state = progress.JobState(
         f"{number:016x}",
         models.QUEUE.name,
@@ -56,7 +56,7 @@
         bench.now,
         workspace=workspace,
     )
-    bench.book.add_job(state, bench.now, bench.now)
+    bench.cluster.add_job(state, bench.now, bench.now)
     return state
 
 
@@ -76,7 +76,7 @@
     """Count the runs of a workspace the naive way."""
     return sum(
         len(task.runs)
-        for state in bench.book.jobs.values()
+        for state in bench.cluster.jobs.values()
         if state.workspace == workspace
         for task in state.tasks.values()
     )
@@ -121,7 +121,7 @@
 
 @behave.when("the first job is cancelled")
 def cancel_first(context):
-    context.bench.book.cancel_job(context.first.identity, 1.0)
+    context.bench.cluster.cancel_job(context.first.identity, 1.0)
 
 
 @behave.then(
@@ -186,7 +186,7 @@
         run.inherited = True
         state.task(name).runs[run.number] = run
     state.next_run = count + 1
-    bench.book.add_job(state, bench.now, bench.now)
+    bench.cluster.add_job(state, bench.now, bench.now)
 
 
 @behave.when("north hands in 1 job of {tasks:d} tasks for 1 to the new owner")
@@ -245,12 +245,12 @@
 
 @behave.then("the pool is asked for {vms:f} VMs")
 def check_demand(context, vms):
-    measured = demand.measure(context.bench.book, context.bench.now)
+    measured = demand.measure(context.bench.cluster, context.bench.now)
     assert measured[models.POOL].vms == vms, measured
 
 
 class History:
-    """Random events over one book, with a count of its own."""
+    """Random events over one cluster, with a count of its own."""
 
     def __init__(self, seed):
         self.random = random.Random(seed)
@@ -291,14 +291,14 @@
     def sum_asked(self, name):
         return sum(
             state.step_of(task.name).memory * len(task.runs)
-            for state in self.bench.book.jobs.values()
+            for state in self.bench.cluster.jobs.values()
             if state.workspace == name
             for task in state.tasks.values()
         )
 
     def check(self, before):
         for name, now in self.count().items():
-            counted = self.bench.book.usage.used(name).memory
+            counted = self.bench.cluster.usage.used(name).memory
             if counted != now:
                 return f"{name} runs {now}, counted are {counted}"
             bound = self.bounds.get(name, 0)
@@ -323,8 +323,8 @@
         found = [
             placed
             for name in self.bench.numbers
-            if name in self.bench.book.workers
-            for placed in self.bench.book.workers[name].runs.values()
+            if name in self.bench.cluster.workers
+            for placed in self.bench.cluster.workers[name].runs.values()
         ]
         return self.random.choice(found) if found else None
 
@@ -335,10 +335,10 @@
             end_run(self.bench, placed, ending)
 
     def cancel(self):
-        open_jobs = list(self.bench.book.open_jobs)
+        open_jobs = list(self.bench.cluster.open_jobs)
         if open_jobs and self.random.random() < 0.5:
             identity = self.random.choice(open_jobs)
-            self.bench.book.cancel_job(identity, self.bench.now)
+            self.bench.cluster.cancel_job(identity, self.bench.now)
 
     def change_bound(self):
         name = self.random.choice(NAMES)
@@ -356,7 +356,7 @@
     def reject_start(self):
         placed = self.pick_run()
         if placed is not None:
-            self.bench.book.apply_start_result(
+            self.bench.cluster.apply_start_result(
                 placed,
                 messages.StartResult.NO_ROOM,
                 uncertain=self.random.random() < 0.5,
--- a/features/steps/copy_steps.py
+++ b/features/steps/copy_steps.py
@@ -53,7 +53,7 @@
 @behave.when("the copy ends well")
 def end_copy(context):
     (copy,) = [r for r in list_runs(context) if r.worker not in context.silent]
-    worker = context.bench.book.workers[copy.worker]
+    worker = context.bench.cluster.workers[copy.worker]
     (placed,) = worker.runs.values()
     bounds.end_run(context.bench, placed, messages.Ending.DONE)
 
@@ -71,6 +71,6 @@
 )
 def inherit(context, count):
     bounds.take_over(context, count, copies_allowed=True)
-    context.state = next(iter(context.bench.book.jobs.values()))
+    context.state = next(iter(context.bench.cluster.jobs.values()))
     context.silent = {"gone"}
     assert context.state.queue == models.QUEUE.name
--- a/features/steps/count_age_steps.py
+++ b/features/steps/count_age_steps.py
@@ -18,7 +18,7 @@
 from rackvalve.manager import recorder as recorders
 from rackvalve.platform import documents
 from rackvalve.platform import store as stores
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve import telemetry
 
 PREFIX = "/known/"
@@ -111,13 +111,15 @@
     enqueued = {}
     writer = mock.Mock()
     writer.enqueue = lambda key, make, **fields: enqueued.update({key: make})
-    book = books.Book(context.view.configuration, inherited_lease=0.0, now=0.0)
+    cluster = clusters.Cluster(
+        context.view.configuration, inherited_lease=0.0, now=0.0
+    )
     for one in range(number):
-        book.add_job(
+        cluster.add_job(
             progress.JobState(f"{one:016x}", QUEUE, JOB, 0.0), 0.0, 0.0
         )
     recorder = recorders.Recorder(
-        book,
+        cluster,
         writer,
         telemetry.Telemetry(),
         keep=1.0,
--- a/features/steps/count_steps.py
+++ b/features/steps/count_steps.py
@@ -44,7 +44,7 @@
 
     def answer(self, result, *, uncertain=False):
         """Have the order of the first start answered."""
-        self.bench.book.apply_start_result(
+        self.bench.cluster.apply_start_result(
             self.bench.placed(self.order),
             result,
             uncertain=uncertain,
@@ -54,7 +54,7 @@
     def end(self, cause):
         """Have the first run's end reported."""
         self.bench.now += 0.05
-        worker = self.bench.book.workers[self.order.worker]
+        worker = self.bench.cluster.workers[self.order.worker]
         ending = {
             "done": messages.Ending.DONE,
             "failed": messages.Ending.FAILED,
@@ -117,7 +117,7 @@
 def _seal(case):
     _give_up(case)
     key = (f"{case.order.job}.{case.order.task}", case.order.run)
-    case.bench.book.confirm_stop(case.order.worker, key, case.bench.now)
+    case.bench.cluster.confirm_stop(case.order.worker, key, case.bench.now)
     case.report()
 
 
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -149,7 +149,7 @@
 
 def add_worker(bench, name):
     worker = models.FakeWorker(models.World(), name, models.Rules(), 1.0)
-    bench.book.set_entry(worker.entry())
+    bench.cluster.set_entry(worker.entry())
     bench.numbers[name] = 0
     bench.report(name, bench.rows(name))
 
@@ -158,11 +158,11 @@
     """Replace the owner by a new one that reads a job's record."""
     payload = records.write_progress(state)
     made = cores.make_cores(bench.now, inherited_lease=5.0)
-    bench.book, bench.handler = made.book, made.handler
+    bench.cluster, bench.handler = made.cluster, made.handler
     bench.planner = made.planner
     read = progress.JobState(state.identity, "queue", state.job, 0.0)
     records.read_progress(read, payload, bench.now)
-    bench.book.add_job(read, bench.now, bench.now)
+    bench.cluster.add_job(read, bench.now, bench.now)
     for name in list(bench.numbers):
         add_worker(bench, name)
     return read
@@ -222,21 +222,21 @@
     bench.start_all()
     (placed,) = [
         one
-        for one in bench.book.workers["w1"].runs.values()
+        for one in bench.cluster.workers["w1"].runs.values()
         if one.task is context.suspect
     ]
     crashes.count_crash(placed, releases.Fate.CRASHED, bench.now)
     # Longer than the run works in this scenario, so that it is not cleared.
     context.suspect.time_to_crash = 5.0
     context.tasks = [
-        placed.task for placed in bench.book.workers["w1"].runs.values()
+        placed.task for placed in bench.cluster.workers["w1"].runs.values()
     ]
 
 
 @behave.when("their worker {how}")
 def end_worker(context, how):
     bench = context.bench
-    worker = bench.book.workers["w1"]
+    worker = bench.cluster.workers["w1"]
     bench.now += 1.0
     if how == "is out of reach until its lease is over":
         bench.now = worker.lease_expiry
@@ -249,7 +249,7 @@
     if how == "ends after it said that it would":
         worker.entry = dataclasses.replace(worker.entry, draining=True)
     elif how == "ends after it had served without an entry":
-        bench.book.remove_entry("w1", bench.now)
+        bench.cluster.remove_entry("w1", bench.now)
         bench.now += 1.0
         bench.report("w1", bench.rows("w1"))
     elif how == "ends by an order to its VM":
@@ -341,7 +341,7 @@
     state = hand_over(bench, context.state)
     task = state.tasks[context.order.task]
     assert (task.crashes, task.isolated_run) == (2, context.order.run)
-    assert crashes.is_isolating(bench.book.workers[name])
+    assert crashes.is_isolating(bench.cluster.workers[name])
 
 
 @behave.given(
@@ -367,7 +367,7 @@
     asked = bench.now + work
     bench.now = asked + late
     bench.handler.apply(
-        bench.book.workers["w0"],
+        bench.cluster.workers["w0"],
         messages.Report(sent=asked, running=tuple(bench.rows("w0")), ended=()),
         now=bench.now,
         wall=bench.now,
--- a/features/steps/culprit_steps.py
+++ b/features/steps/culprit_steps.py
@@ -22,7 +22,7 @@
         ),
         bench.now,
     )
-    bench.book.add_job(state, bench.now, bench.now)
+    bench.cluster.add_job(state, bench.now, bench.now)
     return state
 
 
@@ -32,7 +32,7 @@
     context.made = 0
     context.failed_job = state = submit(bench, 1)
     if what == "failures":
-        bench.book.finish_job(
+        bench.cluster.finish_job(
             state, progress.Phase.FAILED, bench.now, "its task failed"
         )
         return
@@ -54,7 +54,7 @@
         definition.Job(spec="z", steps=(definition.Step(tasks=100, cpu=1),)),
         bench.now,
     )
-    bench.book.add_job(others, bench.now, bench.now)
+    bench.cluster.add_job(others, bench.now, bench.now)
     context.orders = bench.start_all()
 
 
@@ -118,6 +118,6 @@
 
 @behave.then("it is forgotten with the records of the first")
 def check_forgotten(context):
-    book = context.bench.book
-    book.crash_history.crashing_jobs.forget(context.failed_job)
+    cluster = context.bench.cluster
+    cluster.crash_history.crashing_jobs.forget(context.failed_job)
     assert not submit(context.bench, 3).known_time_to_crash
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -35,7 +35,7 @@
 
 
 def runs_of(context, name):
-    return list(context.bench.book.workers[name].runs.values())
+    return list(context.bench.cluster.workers[name].runs.values())
 
 
 def busiest(context):
@@ -66,13 +66,13 @@
     context.tasks = [placed.task for placed in runs_of(context, context.lost)]
     assert len(context.tasks) == 2
     for placed in runs_of(context, context.lost):
-        context.bench.book.workers[context.lost].note_extension(
+        context.bench.cluster.workers[context.lost].note_extension(
             context.bench.now, 4.0
         )
         assert placed.run.worker == context.lost
     context.listed[context.lost] = vms.list_vm(context.lost, **listed)
     # Resources for its tasks elsewhere.
-    context.bench.book.set_entry(
+    context.bench.cluster.set_entry(
         models.FakeWorker(
             models.World(), "another", models.Rules(), 1.0
         ).entry()
@@ -116,7 +116,7 @@
 )
 def silence_recorded(context):
     silence_unlisted(context)
-    context.bench.book.workers[context.lost].entry = None
+    context.bench.cluster.workers[context.lost].entry = None
 
 
 @behave.when("the worker of one VM is silent and one list leaves that VM out")
@@ -172,8 +172,8 @@
     pass_time(context, 0.5)
     context.cut = {"s0", "s1", "s2", "s3"}
     for name in context.names[:2]:
-        entry = context.bench.book.workers[name].entry
-        context.bench.book.set_entry(
+        entry = context.bench.cluster.workers[name].entry
+        context.bench.cluster.set_entry(
             fleet.Entry(
                 **{
                     field: getattr(entry, field)
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -44,12 +44,12 @@
 
 @behave.given("a worker with a good entry that has just answered")
 def make_worker(context):
-    context.book = cores.make_cores(NOW, inherited_lease=5.0).book
+    context.cluster = cores.make_cores(NOW, inherited_lease=5.0).cluster
     context.registry = worker_registries.WorkerRegistry(
-        mock.Mock(), context.book, on_change=lambda: None
+        mock.Mock(), context.cluster, on_change=lambda: None
     )
     write_entry(context)
-    worker = context.book.workers["w1"]
+    worker = context.cluster.workers["w1"]
     worker.established = True
     worker.last_answer_at = worker.last_alive_at = NOW
 
@@ -69,7 +69,7 @@
 
 @behave.then("it takes no work, and its life is not over")
 def check_unused(context):
-    worker = context.book.workers["w1"]
+    worker = context.cluster.workers["w1"]
     assert not worker.takes_work(NOW, 0.9)
     assert context.registry.find_session("w1") is not None
 
@@ -81,7 +81,7 @@
 
 @behave.then("it takes work")
 def check_used(context):
-    assert context.book.workers["w1"].takes_work(NOW, 0.9)
+    assert context.cluster.workers["w1"].takes_work(NOW, 0.9)
 
 
 @behave.when('"{host}" port {port:d} and "{other}" port {far:d} are called')
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -74,8 +74,8 @@
 
 def put_in_hall(bench, name, hall):
     """Set the hall in a worker's entry."""
-    entry = bench.book.workers[name].entry
-    bench.book.set_entry(dataclasses.replace(entry, hall=hall))
+    entry = bench.cluster.workers[name].entry
+    bench.cluster.set_entry(dataclasses.replace(entry, hall=hall))
 
 
 @behave.given(
@@ -90,15 +90,15 @@
 
 @behave.when("hall a is evacuated and the job is planned")
 def evacuate(context):
-    context.bench.book.set_evacuated(frozenset({"a"}))
+    context.bench.cluster.set_evacuated(frozenset({"a"}))
     plan(context)
 
 
 @behave.when("a worker comes in hall a and the job is planned")
 def add_worker(context):
     bench = context.bench
-    known = bench.book.workers["w1"].entry
-    bench.book.set_entry(dataclasses.replace(known, identity="w4", vm="w4"))
+    known = bench.cluster.workers["w1"].entry
+    bench.cluster.set_entry(dataclasses.replace(known, identity="w4", vm="w4"))
     bench.numbers["w4"] = 0
     bench.report("w4")
     plan(context)
@@ -106,7 +106,7 @@
 
 @behave.when("hall a is taken back and the job is planned")
 def end_evacuation(context):
-    context.bench.book.set_evacuated(frozenset())
+    context.bench.cluster.set_evacuated(frozenset())
     plan(context)
 
 
@@ -114,7 +114,8 @@
     bench = context.bench
     bench.plan()
     context.halls = [
-        bench.book.workers[order.worker].entry.hall for order in bench.starts()
+        bench.cluster.workers[order.worker].entry.hall
+        for order in bench.starts()
     ]
 
 
@@ -136,20 +137,20 @@
         put_in_hall(bench, name, "a")
     configuration = models.CONFIGURATION
     spare = queues.Pool(name=SPARE, spare=True)
-    bench.book.set_configuration(
+    bench.cluster.set_configuration(
         dataclasses.replace(
             configuration, pools={**configuration.pools, SPARE: spare}
         )
     )
-    context.maintenance = maintenance.MaintenancePlanner(bench.book)
+    context.maintenance = maintenance.MaintenancePlanner(bench.cluster)
     vms = [make_vm(name, models.POOL, "a", worker=name) for name in names]
     vms += [make_vm(f"a{n}", SPARE, "a") for n in range(9)]
     vms += [make_vm(f"b{n}", SPARE, "b") for n in range(9)]
     context.maintenance.take_list(vms, bench.now)
     context.sizing = sizing.Sizer(
-        bench.book,
+        bench.cluster,
         context.maintenance,
-        failure_detector.FailureDetector(bench.book, context.maintenance),
+        failure_detector.FailureDetector(bench.cluster, context.maintenance),
     )
 
 
@@ -163,7 +164,7 @@
 @behave.when("hall a is evacuated and work for 2 VMs waits")
 def evacuate_busy(context):
     bench = context.bench
-    bench.book.set_evacuated(frozenset({"a"}))
+    bench.cluster.set_evacuated(frozenset({"a"}))
     bench.add(definition.Step(tasks=8, cpu=1))
     context.moves = context.sizing.decide(bench.now)
 
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -57,11 +57,11 @@
     return stores.Item(key=key, payload=payload, revision=1, created=1)
 
 
-def make_controller(book):
+def make_controller(cluster):
     return vm_controllers.VmController(
         mock.Mock(),
         views.View(),
-        book,
+        cluster,
         mock.Mock(),
         7,
         telemetry=mock.Mock(),
@@ -80,14 +80,14 @@
         try:
             if row["key"].startswith("job/"):
                 intake = intakes.JobIntake(
-                    bench.book, (), on_change=lambda: None
+                    bench.cluster, (), on_change=lambda: None
                 )
                 intake.apply_range((item,))
-                if bench.book.jobs:
+                if bench.cluster.jobs:
                     failed.append((row["payload"], "it is taken"))
                     continue
             else:
-                make_controller(bench.book).load((item,))
+                make_controller(bench.cluster).load((item,))
             _decide(bench)
         except Exception as error:
             failed.append((row["key"], repr(error)))
@@ -95,10 +95,10 @@
 
 
 def _decide(bench):
-    """Run each decision of an owner on the book once."""
-    care = maintenance.MaintenancePlanner(bench.book)
-    silent = failure_detector.FailureDetector(bench.book, care)
-    sizes = sizing.Sizer(bench.book, care, silent)
+    """Run each decision of an owner on the cluster once."""
+    care = maintenance.MaintenancePlanner(bench.cluster)
+    silent = failure_detector.FailureDetector(bench.cluster, care)
+    sizes = sizing.Sizer(bench.cluster, care, silent)
     silent.check(bench.now)
     care.decide(
         bench.now,
@@ -107,7 +107,7 @@
     )
     sizes.decide(bench.now)
     bench.plan()
-    for state in bench.book.jobs.values():
+    for state in bench.cluster.jobs.values():
         records.write_progress(state)
 
 
@@ -136,7 +136,7 @@
 
     def switch_incarnation(self, worker, born):
         worker_restarts.note_replaced(
-            self.bench.book, worker, born, self.bench.now
+            self.bench.cluster, worker, born, self.bench.now
         )
 
     def apply_report(self, worker, report, now):
@@ -161,7 +161,7 @@
     answer(rng, {**told, "running": rows[1:], "ended": ended})
     client = clients.Worker("127.0.0.1", 1, "w1", timeout=TIMEOUT_S)
     session = worker_sessions.WorkerSession(
-        BenchOwner(bench), bench.book.workers["w1"], client
+        BenchOwner(bench), bench.cluster.workers["w1"], client
     )
     for _ in range(2):
         outcome = session._hold()
@@ -181,12 +181,12 @@
     answer(rng, {"machines": rows, "next-token": None})
     client = connections.HttpClient("127.0.0.1", 1)
     found = machines.Machines(client, "vm", timeout=TIMEOUT_S).list_vms()
-    care = maintenance.MaintenancePlanner(bench.book)
+    care = maintenance.MaintenancePlanner(bench.cluster)
     if isinstance(found, list):
         care.take_list(found, bench.now)
-    silent = failure_detector.FailureDetector(bench.book, care)
+    silent = failure_detector.FailureDetector(bench.cluster, care)
     silent.check(bench.now)
-    sizing.Sizer(bench.book, care, silent).decide(bench.now)
+    sizing.Sizer(bench.cluster, care, silent).decide(bench.now)
 
 
 def _answer_admission(rng, answer):
@@ -194,11 +194,11 @@
     answer(rng, {"good": [["w1", "t7"]], "valid_ms": 7})
     asking = admission.Admission(
         advisers.Adviser(connections.HttpClient("127.0.0.1", 1)),
-        bench.book,
+        bench.cluster,
         bench.planner,
         on_change=lambda: None,
     )
-    state = bench.book.jobs[benches.IDENTITY]
+    state = bench.cluster.jobs[benches.IDENTITY]
     advice = queues.AdmissionLimits(
         decide_time=0.1, worker_time=0.01, valid=1.0
     )
@@ -225,7 +225,7 @@
         },
     )
     registry = worker_registries.WorkerRegistry(
-        BenchOwner(bench), bench.book, on_change=lambda: None
+        BenchOwner(bench), bench.cluster, on_change=lambda: None
     )
     with mock.patch.object(worker_registries.worker_sessions, "WorkerSession"):
         registry.apply_range((make_item("servers/w9", payload),))
@@ -262,11 +262,11 @@
     view = views.View()
     for key, document in documents.items():
         view.apply_item(make_item(key, odd_answers.vary(rng, document)))
-    care = maintenance.MaintenancePlanner(bench.book)
+    care = maintenance.MaintenancePlanner(bench.cluster)
     for wave in view.waves.values():
         care.add_wave(wave, bench.now)
     if view.configuration is not None:
-        bench.book.set_configuration(view.configuration)
+        bench.cluster.set_configuration(view.configuration)
         view.configuration.find_queue("h", "/q/x")
     _decide(bench)
 
@@ -288,7 +288,7 @@
     bench = _make_bench(["w1"])
     client = clients.Worker("127.0.0.1", 1, "w1", timeout=TIMEOUT_S)
     context.session = worker_sessions.WorkerSession(
-        BenchOwner(bench), bench.book.workers["w1"], client
+        BenchOwner(bench), bench.cluster.workers["w1"], client
     )
     context.clocks = ["1e308", "482113", "482114"]
 
--- a/features/steps/isolation_steps.py
+++ b/features/steps/isolation_steps.py
@@ -139,9 +139,11 @@
     """Start the one task of a job on a worker."""
     (task,) = state.tasks.values()
     number = state.take_run_number()
-    worker = bench.book.workers[name]
-    bench.book.place(state, task, worker, number, bench.now)
-    bench.book.order_recorded(state.identity, state.list_planned(), bench.now)
+    worker = bench.cluster.workers[name]
+    bench.cluster.place(state, task, worker, number, bench.now)
+    bench.cluster.order_recorded(
+        state.identity, state.list_planned(), bench.now
+    )
     (order,) = bench.starts()
     bench.confirm(order)
 
@@ -150,7 +152,7 @@
     for name in bench.numbers:
         if name != without:
             bench.report(name, bench.rows(name))
-            bench.book.workers[name].note_extension(bench.now, LEASE_S)
+            bench.cluster.workers[name].note_extension(bench.now, LEASE_S)
 
 
 def replace_worker(context, name):
@@ -272,10 +274,12 @@
 
 @behave.given("its workspace is at its bound")
 def set_bound(context):
-    book = context.bench.book
-    book.set_configuration(owners.make_configuration(1))
+    cluster = context.bench.cluster
+    cluster.set_configuration(owners.make_configuration(1))
     context.state.workspace = owners.WORKSPACE
-    book.usage.add(owners.WORKSPACE, fleet.Resources(cpu=1, memory=0, gpu=0))
+    cluster.usage.add(
+        owners.WORKSPACE, fleet.Resources(cpu=1, memory=0, gpu=0)
+    )
 
 
 @behave.when(
@@ -300,7 +304,7 @@
     "the task starts alone on its worker, and the other worker stays busy"
 )
 def check_alone(context):
-    worker = context.bench.book.workers[context.order.worker]
+    worker = context.bench.cluster.workers[context.order.worker]
     assert len(worker.runs) == 1, worker.runs
     others = context.busy.keys() - {context.order.worker}
     assert [context.busy[name] for name in others] == [models.CAPACITY.cpu]
@@ -324,7 +328,7 @@
 def work_alone(context, seconds):
     bench = context.bench
     context.began = bench.now
-    bench.book.workers["w0"].note_extension(bench.now, 2 * seconds)
+    bench.cluster.workers["w0"].note_extension(bench.now, 2 * seconds)
     bench.now += seconds
     bench.report("w0", bench.rows("w0"))
     context.orders = bench.start_all()
@@ -350,7 +354,7 @@
 def check_reason(context):
     bench = context.bench
     finder = blockers.BlockerFinder(
-        bench.book, bench.planner, bench.now, timing.FRESHNESS_S
+        bench.cluster, bench.planner, bench.now, timing.FRESHNESS_S
     )
     found = finder.find(context.others, context.others.waiting, ())
     assert found.cause is blockers.Cause.NO_ROOM, found
@@ -414,7 +418,7 @@
     for name in {run.worker for run in runs}:
         jobs = {
             placed.state.identity
-            for placed in bench.book.workers[name].runs.values()
+            for placed in bench.cluster.workers[name].runs.values()
         }
         assert jobs == {state.identity}, (name, jobs)
 
@@ -423,9 +427,9 @@
 def read_records(context):
     bench = context.bench
     context.first = crash_steps.hand_over(bench, context.first)
-    book = bench.book
+    cluster = bench.cluster
     context.other = crash_steps.hand_over(bench, context.other)
-    assert book is not bench.book
+    assert cluster is not bench.cluster
 
 
 @behave.then(
--- a/features/steps/job_steps.py
+++ b/features/steps/job_steps.py
@@ -172,12 +172,12 @@
     context.bench = benches.Bench([])
     state = records.read_definition("queue", benches.IDENTITY, defined)
     records.read_progress(state, payload, context.bench.now)
-    context.bench.book.add_job(state, 1000.0, 1000.0)
+    context.bench.cluster.add_job(state, 1000.0, 1000.0)
     assert not state.waiting, "may still run"
     context.before = order.run
     context.state = state
     context.bench.numbers["w1"] = 0
-    context.bench.book.set_entry(
+    context.bench.cluster.set_entry(
         models.FakeWorker(models.World(), "w1", models.Rules(), 1.0).entry()
     )
     context.bench.report("w1")
@@ -194,7 +194,7 @@
 def fall_silent(context):
     (context.order,) = context.bench.start_all()
     bench = context.bench
-    silent = bench.book.workers[context.order.worker]
+    silent = bench.cluster.workers[context.order.worker]
     silent.lease_expiry = 0.0
     silent.note_extension(bench.now, timing.WORKER_LEASE_S)
     context.silent_since = bench.now
@@ -224,7 +224,7 @@
 @behave.when("it is cancelled while both first tasks run")
 def cancel(context):
     context.orders = context.bench.start_all()
-    context.bench.book.cancel_job(benches.IDENTITY, context.bench.now)
+    context.bench.cluster.cancel_job(benches.IDENTITY, context.bench.now)
 
 
 @behave.then("{count:d} stops are ordered and the job is cancelled")
@@ -245,7 +245,7 @@
 def reject_uncertain(context):
     context.bench.plan()
     (context.order,) = context.bench.starts()
-    context.bench.book.apply_start_result(
+    context.bench.cluster.apply_start_result(
         context.bench.placed(context.order),
         messages.StartResult.NO_ROOM,
         uncertain=True,
@@ -259,7 +259,7 @@
     bench.plan()
     assert not bench.starts()
     bench.now += 0.01
-    bench.book.confirm_stop(
+    bench.cluster.confirm_stop(
         order.worker, (f"{benches.IDENTITY}.0.0.0", order.run), bench.now
     )
     bench.now += 0.01
@@ -274,7 +274,7 @@
 @behave.when("a new owner's first word from a worker is also the last")
 def hear_once(context):
     (context.order,) = context.bench.start_all()
-    worker = context.bench.book.workers[context.order.worker]
+    worker = context.bench.cluster.workers[context.order.worker]
     worker.established = False
     worker.lease_expiry = context.bench.now + 100.0
     context.bench.report(worker.identity, context.bench.rows(worker.identity))
@@ -309,10 +309,10 @@
     for order in context.orders[1 : count + 1]:
         placed = context.bench.placed(order)
         if cause == "silent":
-            worker = context.bench.book.workers[order.worker]
+            worker = context.bench.cluster.workers[order.worker]
             worker.last_alive_at = context.bench.now - eviction.SILENCE_S - 0.1
         elif cause == "stopping":
-            context.bench.book.stop(
+            context.bench.cluster.stop(
                 placed.state, placed.task, placed.run, "test"
             )
         else:
@@ -325,9 +325,9 @@
 )
 def remove_entry(context, time, away):
     bench = context.bench
-    bench.book.remove_entry(context.orders[0].worker, bench.now)
+    bench.cluster.remove_entry(context.orders[0].worker, bench.now)
     bench.now += time
-    for worker in bench.book.workers.values():
+    for worker in bench.cluster.workers.values():
         worker.last_alive_at = bench.now
     take_away(context, away, "silent")
     bench.planner.stop_and_release(bench.now, bench.now)
@@ -340,7 +340,7 @@
 def stay_at_start(context, time, away):
     bench = context.bench
     bench.now += time
-    for worker in bench.book.workers.values():
+    for worker in bench.cluster.workers.values():
         worker.last_alive_at = worker.inherited_stops_end = bench.now
         worker.note_extension(bench.now, timing.WORKER_LEASE_S)
     bench.placed(context.orders[0]).run.percent = 0.0
@@ -366,7 +366,7 @@
 
 @behave.when("a new owner has just heard of all workers")
 def hear_all(context):
-    for worker in context.bench.book.workers.values():
+    for worker in context.bench.cluster.workers.values():
         worker.note_established(
             context.bench.now, timing.WORKER_LEASE_S, SETTLING_S
         )
@@ -378,16 +378,18 @@
 def check_settled(context):
     bench = context.bench
     bench.now += SETTLING_S
-    for worker in bench.book.workers.values():
+    for worker in bench.cluster.workers.values():
         worker.last_alive_at = bench.now
     placed = bench.placed(context.orders[1])
-    assert eviction.may_evict(bench.book, placed, bench.now)
+    assert eviction.may_evict(bench.cluster, placed, bench.now)
 
 
 @behave.then("the first task {may} be moved")
 def check_evict(context, may):
     placed = context.bench.placed(context.orders[0])
-    allowed = eviction.may_evict(context.bench.book, placed, context.bench.now)
+    allowed = eviction.may_evict(
+        context.bench.cluster, placed, context.bench.now
+    )
     assert allowed is (may == "may")
 
 
@@ -410,7 +412,7 @@
 @behave.then("none of them is placed")
 def check_none(context):
     assert not context.orders
-    for worker in context.bench.book.workers.values():
+    for worker in context.bench.cluster.workers.values():
         assert worker.free == worker.entry.capacity
 
 
--- a/features/steps/late_end_steps.py
+++ b/features/steps/late_end_steps.py
@@ -38,14 +38,14 @@
     bench, old = context.bench, context.state
     payload = records.write_progress(old)
     made = cores.make_cores(bench.now, inherited_lease=5.0)
-    bench.book, bench.handler = made.book, made.handler
+    bench.cluster, bench.handler = made.cluster, made.handler
     bench.planner = made.planner
     for name in bench.numbers:
         worker = models.FakeWorker(models.World(), name, models.Rules(), 1.0)
-        bench.book.set_entry(worker.entry())
+        bench.cluster.set_entry(worker.entry())
     state = progress.JobState(old.identity, "queue", old.job, 0.0)
     records.read_progress(state, payload, bench.now)
-    bench.book.add_job(state, bench.now, bench.now)
+    bench.cluster.add_job(state, bench.now, bench.now)
     context.state = state
 
 
--- a/features/steps/late_start_steps.py
+++ b/features/steps/late_start_steps.py
@@ -67,7 +67,7 @@
     bench.add(definition.Step(tasks=1, cpu=1))
     bench.plan()
     (context.order,) = bench.starts()
-    worker = bench.book.workers["w1"]
+    worker = bench.cluster.workers["w1"]
     context.client = FakeClient()
     context.owner = FakeOwner(True)
     context.session = worker_sessions.WorkerSession(
@@ -124,11 +124,11 @@
     run = progress.Run(1, RUNNING_ON, progress.Stage.ORDERED, 0.0)
     run.inherited = True
     state.task(name).runs[1] = run
-    book = context.bench.book
-    book.add_job(state, context.bench.now, context.bench.now)
-    book.cancel_job(benches.IDENTITY, context.bench.now)
+    cluster = context.bench.cluster
+    cluster.add_job(state, context.bench.now, context.bench.now)
+    cluster.cancel_job(benches.IDENTITY, context.bench.now)
     context.registry = worker_registries.WorkerRegistry(
-        FakeOwner(True), book, on_change=lambda: None
+        FakeOwner(True), cluster, on_change=lambda: None
     )
 
 
@@ -185,7 +185,7 @@
 @behave.then("no such order is kept for a worker whose incarnation is over")
 def check_dropped(context):
     context.registry.end_incarnation(RUNNING_ON, "another life answers")
-    context.bench.book.orders.clear()
+    context.bench.cluster.orders.clear()
     assert not context.registry.send(context.order)
     context.registry.end_incarnation(RUNNING_ON, "its entry is gone")
     add_entry(context)
@@ -214,7 +214,7 @@
     sent = context.bench.now
     context.bench.now += seconds
     context.bench.handler.apply(
-        context.bench.book.workers["w1"],
+        context.bench.cluster.workers["w1"],
         messages.Report(sent=sent, running=(), ended=()),
         now=context.bench.now,
         wall=context.bench.now,
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -59,7 +59,7 @@
 
 @behave.given("an owner that has just extended a worker's lease")
 def make_session(context):
-    worker = benches.Bench(["w1"]).book.workers["w1"]
+    worker = benches.Bench(["w1"]).cluster.workers["w1"]
     context.client = SlowWorker()
     context.session = worker_sessions.WorkerSession(
         Owner(True), worker, context.client
@@ -125,7 +125,7 @@
     context.client = mock.Mock()
     for call in (context.client.hold, context.client.stop):
         call.side_effect = TypeError("an odd document")
-    worker = benches.Bench(["w1"]).book.workers["w1"]
+    worker = benches.Bench(["w1"]).cluster.workers["w1"]
     context.owner = mock.Mock(durable=0)
     context.session = worker_sessions.WorkerSession(
         context.owner, worker, context.client
@@ -137,7 +137,7 @@
     client = mock.Mock()
     client.hold.return_value = clients.Report(clock=1.0, running=(), ended=())
     client.stop.return_value = clients.Done(clock=1.0)
-    worker = benches.Bench(["w1"]).book.workers["w1"]
+    worker = benches.Bench(["w1"]).cluster.workers["w1"]
     context.owner = mock.Mock(durable=0)
     context.owner.apply_report.side_effect = KeyError("half changed")
     context.session = worker_sessions.WorkerSession(
--- a/features/steps/proof_steps.py
+++ b/features/steps/proof_steps.py
@@ -74,7 +74,7 @@
 def make_run(context, host, port, vm):
     bench = benches.Bench(["w1"])
     location = progress.Location(host=host, port=port, vm=vm)
-    bench.book.workers["w1"].location = location
+    bench.cluster.workers["w1"].location = location
     context.state = bench.add(definition.Step(tasks=1, cpu=1))
     bench.start_all()
 
@@ -87,9 +87,9 @@
     job = context.state.job
     read = progress.JobState(context.state.identity, "queue", job, 0.0)
     records.read_progress(read, json.dumps(stored).encode(), 2000.0)
-    book = cores.make_cores(2000.0, inherited_lease=5.0).book
-    book.add_job(read, 2000.0, 2000.0)
-    context.worker = book.workers["w1"]
+    cluster = cores.make_cores(2000.0, inherited_lease=5.0).cluster
+    cluster.add_job(read, 2000.0, 2000.0)
+    context.worker = cluster.workers["w1"]
 
 
 @behave.then("the new owner knows the run, and no place to ask")
--- a/features/steps/removal_steps.py
+++ b/features/steps/removal_steps.py
@@ -48,12 +48,14 @@
 
 
 def load(items):
-    """Return the book and the intake of an owner that takes over now."""
-    book = cores.make_cores(clocks.read_steady(), inherited_lease=0.0).book
+    """Return the cluster and the intake of an owner that takes over now."""
+    cluster = cores.make_cores(
+        clocks.read_steady(), inherited_lease=0.0
+    ).cluster
     known = read(items, records.PROGRESS_PREFIX)
-    jobs = intake.JobIntake(book, known, on_change=mock.Mock())
+    jobs = intake.JobIntake(cluster, known, on_change=mock.Mock())
     jobs.apply_range(read(items, records.PREFIX))
-    return book, jobs
+    return cluster, jobs
 
 
 @behave.given("an owner with a job of {tasks:d} tasks that ended long ago")
@@ -75,10 +77,10 @@
         for part, payload in payloads.items()
     }
     context.writer = FakeWriter(context.items)
-    context.book, context.jobs = load(context.items)
-    assert IDENTITY in context.book.jobs
+    context.cluster, context.jobs = load(context.items)
+    assert IDENTITY in context.cluster.jobs
     context.recorder = recorder.Recorder(
-        context.book,
+        context.cluster,
         context.writer,
         mock.Mock(),
         keep=KEEP_S,
@@ -110,8 +112,8 @@
 @behave.when("its records are removed, and an owner loads after each commit")
 def remove_and_load(context):
     def on_commit():
-        book, _ = load(context.items)
-        context.begun.extend(book.open_jobs)
+        cluster, _ = load(context.items)
+        context.begun.extend(cluster.open_jobs)
 
     remove_all(context, on_commit)
 
@@ -136,7 +138,7 @@
 @behave.then("no owner has found a job to begin")
 def check_none_begun(context):
     assert not context.begun, context.begun
-    assert not context.book.open_jobs, context.book.open_jobs
+    assert not context.cluster.open_jobs, context.cluster.open_jobs
 
 
 @behave.then("none of its records is left")
@@ -147,4 +149,4 @@
 @behave.then("the owner forgets the job at its next round")
 def check_forgotten(context):
     collect(context)
-    assert not context.book.jobs
+    assert not context.cluster.jobs
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -46,13 +46,13 @@
     bench.now += 1.0
     strays = [("x.0.0.0", 1, messages.Ending.DONE)] * 8
     bench.report(EARLIER, bench.rows(EARLIER), strays)
-    assert bench.book.workers[EARLIER].handled == 8
+    assert bench.cluster.workers[EARLIER].handled == 8
 
 
 def start_again(bench, running=(), ended=()):
     """Let a later incarnation of the worker report its runs."""
-    entry = bench.book.workers[EARLIER].entry
-    bench.book.set_entry(make_entry(LATER, entry))
+    entry = bench.cluster.workers[EARLIER].entry
+    bench.cluster.set_entry(make_entry(LATER, entry))
     bench.numbers[LATER] = 0
     bench.now += 0.5
     bench.report(LATER, running, ended)
@@ -92,16 +92,16 @@
     bench = context.bench
     full = f"{context.state.identity}.0.0.0"
     if tells == DRAINED:
-        entry = bench.book.workers[EARLIER].entry
+        entry = bench.cluster.workers[EARLIER].entry
         fields = {name: getattr(entry, name) for name in entry.__slots__}
         drained = fleet.Entry(**{**fields, "draining": True})
-        bench.book.set_entry(drained)
+        bench.cluster.set_entry(drained)
     running = list_run(context) if tells == LISTS else ()
     ended = [(full, 1, ENDS[tells])] if tells in ENDS else ()
-    if EARLIER in bench.book.workers:
+    if EARLIER in bench.cluster.workers:
         start_again(bench, running, ended)
         return
-    bench.book.set_entry(make_entry(LATER))
+    bench.cluster.set_entry(make_entry(LATER))
     bench.numbers[LATER] = 0
     bench.report(LATER, running, ended)
 
@@ -116,17 +116,19 @@
         assert task.done and not task.runs
     else:
         (run,) = task.runs.values()
-        present = context.bench.book.find_current("w1").identity
+        present = context.bench.cluster.find_current("w1").identity
         assert run.worker in (present, EARLIER), run.worker
-        worker = context.bench.book.workers[run.worker]
+        worker = context.bench.cluster.workers[run.worker]
         assert worker.established and len(worker.runs) == 1
 
 
 @behave.then("the earlier incarnation is forgotten")
 def check_forgotten(context):
     bench = context.bench
-    assert list(bench.book.workers) == [LATER]
-    assert bench.book.workers_by_name.find("w1") == [bench.book.workers[LATER]]
+    assert list(bench.cluster.workers) == [LATER]
+    assert bench.cluster.workers_by_name.find("w1") == [
+        bench.cluster.workers[LATER]
+    ]
     (release,) = bench.handler.released
     assert release.worker == EARLIER
 
@@ -135,8 +137,8 @@
 def stop_and_list(context):
     task = next(iter(context.state.tasks.values()))
     (run,) = task.runs.values()
-    context.bench.book.stop(context.state, task, run, "a reason")
-    context.bench.book.orders.clear()
+    context.bench.cluster.stop(context.state, task, run, "a reason")
+    context.bench.cluster.orders.clear()
     start_again(context.bench, list_run(context))
 
 
@@ -162,7 +164,7 @@
     run.inherited = True
     state.task(name).runs[1] = run
     state.next_run = 2
-    bench.book.add_job(state, bench.now, bench.now)
+    bench.cluster.add_job(state, bench.now, bench.now)
 
 
 @behave.given(
@@ -170,7 +172,7 @@
 )
 def mark_worker(context):
     bench = context.bench = benches.Bench([EARLIER])
-    worker = bench.book.workers[EARLIER]
+    worker = bench.cluster.workers[EARLIER]
     worker.close_reason = "it is closed"
     worker.backoff_until = bench.now + 100.0
     worker.failures = 5
@@ -188,8 +190,8 @@
 @behave.then("it takes work as a worker that was never seen before")
 def check_fresh(context):
     bench = context.bench
-    found = bench.book.workers[LATER]
-    other = benches.Bench([LATER]).book.workers[LATER]
+    found = bench.cluster.workers[LATER]
+    other = benches.Bench([LATER]).cluster.workers[LATER]
     for field in (
         "close_reason",
         "backoff_until",
@@ -208,8 +210,8 @@
 )
 def name_other(context):
     bench = context.bench
-    entry = bench.book.workers[EARLIER].entry
-    bench.book.set_entry(make_entry("w1@900", entry))
+    entry = bench.cluster.workers[EARLIER].entry
+    bench.cluster.set_entry(make_entry("w1@900", entry))
     bench.now += 0.5
     bench.report(EARLIER, bench.rows(EARLIER))
 
@@ -219,16 +221,16 @@
 )
 def add_later(context, age):
     bench = context.bench = benches.Bench([])
-    context.maintenance = maintenance.MaintenancePlanner(bench.book)
+    context.maintenance = maintenance.MaintenancePlanner(bench.cluster)
     context.silence = failure_detector.FailureDetector(
-        bench.book, context.maintenance
+        bench.cluster, context.maintenance
     )
-    bench.book.set_entry(make_entry(LATER))
+    bench.cluster.set_entry(make_entry(LATER))
     bench.add(definition.Step(tasks=1, cpu=1))
     bench.numbers[LATER] = 0
     take_list(context, "w1")
     bench.handler.apply(
-        bench.book.workers[LATER],
+        bench.cluster.workers[LATER],
         messages.Report(
             sent=bench.now, running=(), ended=(), clock=float(age)
         ),
@@ -255,7 +257,7 @@
 
 @behave.then("its incarnation is {proved}")
 def check_proved(context, proved):
-    worker = context.bench.book.workers[LATER]
+    worker = context.bench.cluster.workers[LATER]
     is_over = worker.lease_expiry == float("-inf")
     assert is_over == (proved == "proved over"), worker.lease_expiry
 
@@ -295,12 +297,12 @@
 )
 def refuse_token(context, whose):
     bench = benches.Bench([EARLIER])
-    context.worker = bench.book.workers[EARLIER]
+    context.worker = bench.cluster.workers[EARLIER]
     context.owner = mock.Mock(
         durable=0, tokens=fencing_tokens.FencingTokens(7)
     )
     if whose == "it itself":
-        later = bench.book.add_incarnation(LATER)
+        later = bench.cluster.add_incarnation(LATER)
         context.owner.tokens.raise_for(later, 9)
     client = mock.Mock()
     client.hold.return_value = clients.Rejected(
@@ -338,13 +340,13 @@
         decide_time=0.1, worker_time=0.01, valid=60.0
     )
     queue = dataclasses.replace(models.QUEUE, admission=advice)
-    bench.book.set_configuration(
+    bench.cluster.set_configuration(
         dataclasses.replace(models.CONFIGURATION, queues=(queue,))
     )
     context.state = bench.add(definition.Step(tasks=1, cpu=1))
     context.adviser = FakeAdviser()
     context.admission = admissions.Admission(
-        context.adviser, bench.book, bench.planner, on_change=lambda: None
+        context.adviser, bench.cluster, bench.planner, on_change=lambda: None
     )
     ask_next(context)
     assert context.adviser.asked == [[EARLIER]]
--- a/features/steps/share_steps.py
+++ b/features/steps/share_steps.py
@@ -34,7 +34,7 @@
         make_workspace(row["workspace"], float(row["rate"]))
         for row in context.table
     )
-    context.bench.book.set_configuration(
+    context.bench.cluster.set_configuration(
         dataclasses.replace(models.CONFIGURATION, workspaces=workspaces)
     )
 
@@ -83,7 +83,7 @@
     assert {state.workspace for state in beyond} == {"greedy"}
     bench = context.bench
     for _ in range(2):
-        for placed in list(bench.book.workers["w0"].runs.values()):
+        for placed in list(bench.cluster.workers["w0"].runs.values()):
             bounds.end_run(bench, placed, bounds.messages.Ending.DONE)
         bench.start_all()
     late = [
--- a/features/steps/sizing_steps.py
+++ b/features/steps/sizing_steps.py
@@ -62,7 +62,7 @@
         context.listed[move.vm] = vms.list_vm(move.vm)
         context.names.append(move.vm)
         context.bench.numbers[move.vm] = 0
-        context.bench.book.set_entry(
+        context.bench.cluster.set_entry(
             models.FakeWorker(
                 models.World(), move.vm, models.Rules(), 1.0
             ).entry()
@@ -71,7 +71,7 @@
 
 @behave.when("the work is done and some time has passed")
 def finish_work(context):
-    context.bench.book.cancel_job(benches.IDENTITY, context.bench.now)
+    context.bench.cluster.cancel_job(benches.IDENTITY, context.bench.now)
     context.moves = vms.step_sizing(
         context, forecast.PEAK_WINDOW_S + sizing.MIN_STAY_S + 1.0
     )
@@ -132,11 +132,11 @@
             for move in vms.step_sizing(context, forecast.PEAK_WINDOW_S)
         }
         for order in bench.stops():
-            bench.book.orders.remove(order)
+            bench.cluster.orders.remove(order)
             placed = bench.placed_run(order)
-            bench.book.release(placed, bench.now)
+            bench.cluster.release(placed, bench.now)
         for name in gone:
-            bench.book.workers[name].close_reason = sizing.SURPLUS
+            bench.cluster.workers[name].close_reason = sizing.SURPLUS
         bench.start_all()
     assert len(context.names) - len(gone) == count, gone
     placed = [run for t in context.state.tasks.values() for run in t.runs]
@@ -156,8 +156,8 @@
 def check_closed(context):
     assert context.gone <= context.sizing.find_closures().keys()
     for vm in context.gone:
-        assert context.bench.book.workers[vm].close_reason == sizing.SURPLUS
-        assert not context.bench.book.workers[vm].takes_work(
+        assert context.bench.cluster.workers[vm].close_reason == sizing.SURPLUS
+        assert not context.bench.cluster.workers[vm].takes_work(
             context.bench.now, 10.0
         )
 
@@ -167,21 +167,21 @@
     "new pool"
 )
 def check_new_lives(context):
-    book = context.bench.book
+    cluster = context.bench.cluster
     (vm, *_) = context.gone
-    known = book.workers[vm].entry
-    book.closures.set(context.sizing.find_closures())
+    known = cluster.workers[vm].entry
+    cluster.closures.set(context.sizing.find_closures())
     for name, pool in (("old", known.pool), ("new", vms.SPARE)):
-        book.set_entry(dataclasses.replace(known, identity=name, pool=pool))
-    assert book.workers["old"].close_reason == sizing.SURPLUS
-    assert not book.workers["new"].close_reason
+        cluster.set_entry(dataclasses.replace(known, identity=name, pool=pool))
+    assert cluster.workers["old"].close_reason == sizing.SURPLUS
+    assert not cluster.workers["new"].close_reason
 
 
 @behave.when("work for {count:d} VMs has just ended there")
 def end_work(context, count):
     context.bench.add(definition.Step(tasks=count, cpu=vms.WIDE.cpu))
     vms.step_sizing(context, forecast.RISE_WINDOW_S)
-    context.bench.book.cancel_job(benches.IDENTITY, context.bench.now)
+    context.bench.cluster.cancel_job(benches.IDENTITY, context.bench.now)
 
 
 @behave.when("another pool lacks room")
@@ -189,14 +189,16 @@
     queue = dataclasses.replace(
         models.QUEUE, name="other-queue", pool=vms.OTHER
     )
-    book = context.bench.book
-    vms.make_pools(book, vms.OTHER)
-    book.set_configuration(
-        dataclasses.replace(book.configuration, queues=(models.QUEUE, queue))
+    cluster = context.bench.cluster
+    vms.make_pools(cluster, vms.OTHER)
+    cluster.set_configuration(
+        dataclasses.replace(
+            cluster.configuration, queues=(models.QUEUE, queue)
+        )
     )
-    book.set_entry(
+    cluster.set_entry(
         dataclasses.replace(
-            book.workers[context.names[0]].entry,
+            cluster.workers[context.names[0]].entry,
             identity="o0",
             vm="o0",
             pool=vms.OTHER,
@@ -213,7 +215,7 @@
         ),
         context.bench.now,
     )
-    book.add_job(state, context.bench.now, context.bench.now)
+    cluster.add_job(state, context.bench.now, context.bench.now)
     context.moves = vms.step_sizing(context, 1.0)
 
 
--- a/features/steps/standing_steps.py
+++ b/features/steps/standing_steps.py
@@ -41,7 +41,7 @@
 
     def apply(context):
         for name in NAMES:
-            worker = context.bench.book.workers[name]
+            worker = context.bench.cluster.workers[name]
             for field, value in fields.items():
                 setattr(worker, field, value)
         context.bench.plan()
@@ -50,7 +50,7 @@
 
 
 def configure(context, queue=models.QUEUE, **fields):
-    context.bench.book.set_configuration(
+    context.bench.cluster.set_configuration(
         dataclasses.replace(
             models.CONFIGURATION, queues=(queue,) if queue else (), **fields
         )
@@ -62,7 +62,7 @@
     bound = fleet.Resources(cpu=1, memory=0, gpu=0)
     north = account.Workspace(name="north", rate=1.0, bound=bound)
     context.state.workspace = north.name
-    context.bench.book.usage.add(north.name, bound)
+    context.bench.cluster.usage.add(north.name, bound)
     configure(context, workspaces=directory.Directory([north]))
 
 
@@ -81,7 +81,7 @@
 
 def drain(context):
     for name in NAMES:
-        worker = context.bench.book.workers[name]
+        worker = context.bench.cluster.workers[name]
         worker.entry = dataclasses.replace(worker.entry, draining=True)
     context.bench.plan()
 
@@ -129,7 +129,7 @@
     context.answering = list(NAMES)
     context.state = bench.add(JOBS[job])
     context.detector = stalls.StallDetector(
-        bench.book, bench.planner, timing.FRESHNESS_S
+        bench.cluster, bench.planner, timing.FRESHNESS_S
     )
     BLOCKERS[blocker](context)
     if blocker == "the workers were never heard":
@@ -139,7 +139,7 @@
 def pass_second(context):
     context.bench.now += 1.0
     for name in context.answering:
-        worker = context.bench.book.workers[name]
+        worker = context.bench.cluster.workers[name]
         ordered = [
             key
             for key, placed in worker.runs.items()
@@ -189,7 +189,7 @@
 def open_workers(context):
     scan_jobs(context)
     for name in NAMES:
-        context.bench.book.workers[name].close_reason = ""
+        context.bench.cluster.workers[name].close_reason = ""
     context.bench.now += 1.0
     for name in NAMES:
         context.bench.report(name)
@@ -230,7 +230,7 @@
             state.accepted += 1.0
             state.next_run = 2
             state.finish(state.phase.COMPLETED, 0.0, "")
-            context.bench.book.mark_changed(state)
+            context.bench.cluster.mark_changed(state)
 
 
 @behave.then(
@@ -267,7 +267,7 @@
 def make_reporter(context):
     context.telemetry = telemetries.Telemetry()
     return reporters.Reporter(
-        context.bench.book,
+        context.bench.cluster,
         context.bench.handler,
         context.bench.planner,
         context.telemetry,
@@ -322,7 +322,7 @@
 
 @behave.when("its VM is listed as off")
 def list_off(context):
-    context.bench.book.workers[context.order.worker].note_lost()
+    context.bench.cluster.workers[context.order.worker].note_lost()
     release_all(context)
 
 
@@ -344,7 +344,7 @@
 @behave.when("another life answers in its place")
 def answer_other(context):
     registry = mock.Mock(end_incarnation=context.bench.end_life)
-    owner = mock.Mock(_book=context.bench.book, _registry=registry)
+    owner = mock.Mock(_cluster=context.bench.cluster, _registry=registry)
     with mock.patch.object(logs, "write_event") as written:
         owner._reporter = make_reporter(context)
         owners.Owner.end_incarnation(
--- a/features/steps/turn_steps.py
+++ b/features/steps/turn_steps.py
@@ -138,7 +138,7 @@
 
 def note_overtaken(context, order):
     """Note the queued jobs older than 3 s when a later job starts."""
-    arrived = context.bench.book.jobs[order.job].arrived
+    arrived = context.bench.cluster.jobs[order.job].arrived
     for state in context.jobs:
         stands = state.phase is progress.Phase.QUEUED
         waited = context.bench.now - state.arrived
--- a/features/steps/upkeep_steps.py
+++ b/features/steps/upkeep_steps.py
@@ -28,8 +28,8 @@
 def make_wave(context, count, most):
     context.vms = [f"w{number}" for number in range(count)]
     context.bench = benches.Bench(context.vms)
-    vms.make_pools(context.bench.book)
-    context.maintenance = maintenance.MaintenancePlanner(context.bench.book)
+    vms.make_pools(context.bench.cluster)
+    context.maintenance = maintenance.MaintenancePlanner(context.bench.cluster)
     context.wave = fleet.Wave(
         number=1, vms=tuple(context.vms), duration=60.0, most_away=most
     )
@@ -81,7 +81,7 @@
     """Carry out the orders to VMs, and note the runs on them."""
     bench, planner = context.bench, context.maintenance
     for order in planner.decide(bench.now):
-        worker = bench.book.workers[context.lives[order.vm]]
+        worker = bench.cluster.workers[context.lives[order.vm]]
         context.busy.extend(worker.runs)
         context.orders.append(order.vm)
         planner.note_ordered(order, bench.now)
@@ -103,14 +103,14 @@
                 ).entry(),
                 vm=vm,
             )
-            bench.book.set_entry(entry)
+            bench.cluster.set_entry(entry)
             bench.report(lives[vm])
 
 
 def close_and_list(context):
     """Close or reopen workers by their VMs, and list all VMs."""
     bench, planner = context.bench, context.maintenance
-    for worker in bench.book.workers.values():
+    for worker in bench.cluster.workers.values():
         vm = worker.entry.vm
         worker.close_reason = (
             maintenance.CLOSED if vm in planner.list_leaving() else ""
@@ -128,11 +128,11 @@
     """End work that lasts too long for the wave's grace period."""
     bench = context.bench
     for life in context.lives.values():
-        worker = bench.book.workers.get(life)
+        worker = bench.cluster.workers.get(life)
         runs = list(worker.runs.values()) if worker is not None else []
         for placed in runs:
             if bench.now - placed.run.since > 2.0:
-                bench.book.release(placed, bench.now)
+                bench.cluster.release(placed, bench.now)
                 placed.task.done = True
 
 
@@ -191,8 +191,8 @@
         "surplus": sizing.GRACE_S,
     }
     eviction.vacate(
-        context.bench.book,
-        context.bench.book.workers["w1"],
+        context.bench.cluster,
+        context.bench.cluster.workers["w1"],
         grace[reason],
         context.bench.now,
     )
@@ -245,7 +245,7 @@
     closed, context.stretch, context.ever = {}, 0.0, set()
     for _ in range(600):
         bench.now += 0.1
-        for worker in bench.book.workers.values():
+        for worker in bench.cluster.workers.values():
             worker.last_alive_at = bench.now
         assert not context.maintenance.decide(bench.now) and not bench.stops()
         leaving = context.maintenance.list_leaving()
@@ -362,7 +362,7 @@
     context.placed["1"].run.load = float(tail)
     context.placed["2"].run.pace = pace
     context.orders = pacing.set_paces(
-        context.bench.book.workers["w1"], context.bench.now, 0.1
+        context.bench.cluster.workers["w1"], context.bench.now, 0.1
     )
 
 
@@ -380,7 +380,7 @@
     advice = queues.AdmissionLimits(
         decide_time=0.1, worker_time=0.01, valid=3.0
     )
-    context.bench.book.set_configuration(
+    context.bench.cluster.set_configuration(
         dataclasses.replace(
             models.CONFIGURATION,
             queues=(dataclasses.replace(models.QUEUE, admission=advice),),
--- a/features/steps/vm_controller_steps.py
+++ b/features/steps/vm_controller_steps.py
@@ -73,7 +73,7 @@
     context.controller = vm_controller.VmController(
         context.machines,
         view.View(),
-        bench.book,
+        bench.cluster,
         writer,
         7,
         telemetry=telemetry.Telemetry(),
@@ -259,7 +259,7 @@
 def take_over_moves(context):
     """Start a new owner from the records of the previous one."""
     make_controller(context, [], [])
-    vms.make_pools(context.bench.book, vms.OTHER)
+    vms.make_pools(context.bench.cluster, vms.OTHER)
     context.bench.add(definition.Step(tasks=1, cpu=1, lasting=True))
     with mock.patch.object(
         vm_controller.clocks, "read_steady", context.read_steady
@@ -303,13 +303,15 @@
 )
 def take_over_moved(context):
     take_over_moves(context)
-    book = context.bench.book
+    cluster = context.bench.cluster
     queue = dataclasses.replace(models.QUEUE, pool=vms.OTHER)
-    book.set_configuration(
-        dataclasses.replace(book.configuration, queues=(queue,))
+    cluster.set_configuration(
+        dataclasses.replace(cluster.configuration, queues=(queue,))
+    )
+    entry = cluster.workers["w0"].entry
+    cluster.set_entry(
+        dataclasses.replace(entry, identity="w0x", pool=vms.OTHER)
     )
-    entry = book.workers["w0"].entry
-    book.set_entry(dataclasses.replace(entry, identity="w0x", pool=vms.OTHER))
     context.bench.numbers["w0x"] = 0
     context.tenths = place_tasks(context, 2, identity="w0x")
 
--- a/features/vm_bench.py
+++ b/features/vm_bench.py
@@ -17,8 +17,8 @@
 WIDE = fleet.Resources(cpu=4, memory=4, gpu=0)
 
 
-def make_pools(book, *names):
-    book.set_configuration(
+def make_pools(cluster, *names):
+    cluster.set_configuration(
         dataclasses.replace(
             models.CONFIGURATION,
             pools={
@@ -43,16 +43,16 @@
 
 
 def make_sizing(context, count, spares):
-    """Give a context a book, waves and sizes of a pool and spare VMs."""
+    """Give a context a cluster, waves and sizes of a pool and spare VMs."""
     names = [f"w{number}" for number in range(count)]
     context.bench = benches.Bench(names, capacity=WIDE)
-    make_pools(context.bench.book)
-    context.maintenance = maintenance.MaintenancePlanner(context.bench.book)
+    make_pools(context.bench.cluster)
+    context.maintenance = maintenance.MaintenancePlanner(context.bench.cluster)
     context.silence = failure_detector.FailureDetector(
-        context.bench.book, context.maintenance
+        context.bench.cluster, context.maintenance
     )
     context.sizing = sizing.Sizer(
-        context.bench.book, context.maintenance, context.silence
+        context.bench.cluster, context.maintenance, context.silence
     )
     context.listed = {name: list_vm(name) for name in names}
     for number in range(spares):
--- a/src/rackvalve/manager/admission.py
+++ b/src/rackvalve/manager/admission.py
@@ -17,7 +17,7 @@
 from rackvalve import logs
 from rackvalve.manager import timing
 from rackvalve.platform import advisers
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import planner as planners
 from rackvalve.scheduling import queues
 
@@ -26,7 +26,7 @@
     """Keeps the planner's admission tickets valid.
 
     :param adviser: The service; ``None`` where there is none.
-    :param book: The owner's book.
+    :param cluster: The owner's view of the cluster.
     :param planner: The planner that uses the tickets.
     :param on_change: Called when new tickets have arrived.
     """
@@ -34,13 +34,13 @@
     def __init__(
         self,
         adviser: advisers.Adviser | None,
-        book: books.Book,
+        cluster: clusters.Cluster,
         planner: planners.Planner,
         *,
         on_change: Callable[[], None],
     ) -> None:
         self._adviser = adviser
-        self._book = book
+        self._cluster = cluster
         self._planner = planner
         self._on_change = on_change
         # Workers that were asked about and not admitted, by step.
@@ -61,8 +61,8 @@
         """
         now = clocks.read_steady()
         self._drop_expired(now)
-        for state in self._book.open_jobs.values():
-            queue = self._book.queues.get(state.queue)
+        for state in self._cluster.open_jobs.values():
+            queue = self._cluster.queues.get(state.queue)
             if queue is None or queue.admission is None or not state.waiting:
                 continue
             name = next(iter(state.waiting))
@@ -82,7 +82,7 @@
         """
         tickets = self._planner.tickets.get(step, {})
         return any(
-            incarnation in self._book.workers for incarnation in tickets
+            incarnation in self._cluster.workers for incarnation in tickets
         )
 
     def _drop_expired(self, now: float) -> None:
@@ -105,7 +105,7 @@
         labels = state.step_of(name).labels
         found = [
             worker
-            for worker in self._book.workers.values()
+            for worker in self._cluster.workers.values()
             if worker.entry is not None
             and worker.entry.pool == queue.pool
             and worker.takes_work(now, timing.FRESHNESS_S)
--- a/src/rackvalve/manager/intake.py
+++ b/src/rackvalve/manager/intake.py
@@ -1,4 +1,4 @@
-"""Intake of submitted and cancelled jobs from the store into an owner's book.
+"""Intake of submitted and cancelled jobs from the store by an owner.
 
 The owner passes on what its watch over the jobs' records reports.
 """
@@ -13,29 +13,29 @@
 from rackvalve.jobs import records
 from rackvalve import logs
 from rackvalve.platform import store as stores
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 
 Parts = dict[records.Part, stores.Item]
 
 
 class JobIntake:
-    """Applies the records of jobs to one owner's book.
+    """Applies the records of jobs to one owner's view of the cluster.
 
-    :param book: The book.
+    :param cluster: The owner's view of the cluster.
     :param progress: Progress records that were read before the first range.
     :param on_change: Called after records were applied.
     """
 
-    __slots__ = ("_book", "_progress", "_on_change")
+    __slots__ = ("_cluster", "_progress", "_on_change")
 
     def __init__(
         self,
-        book: books.Book,
+        cluster: clusters.Cluster,
         progress: tuple[stores.Item, ...],
         *,
         on_change: Callable[[], None],
     ) -> None:
-        self._book = book
+        self._cluster = cluster
         self._progress = progress
         self._on_change = on_change
 
@@ -69,7 +69,7 @@
             self._decode(queue, identity, parts)
             for (queue, identity), parts in by_job.items()
             if records.Part.DEFINITION in parts
-            and identity not in self._book.jobs
+            and identity not in self._cluster.jobs
         ]
         states = [state for state in found if state is not None]
         for state in sorted(states, key=lambda state: state.accepted):
@@ -97,7 +97,7 @@
         return state
 
     def _add(self, state: progress.JobState) -> None:
-        self._book.add_job(state, clocks.read_steady(), clocks.read_wall())
+        self._cluster.add_job(state, clocks.read_steady(), clocks.read_wall())
         logs.write_event(
             "job.taken",
             job=state.identity,
@@ -110,10 +110,10 @@
         )
 
     def _cancel(self, identity: str) -> None:
-        state = self._book.jobs.get(identity)
+        state = self._cluster.jobs.get(identity)
         if state is None or state.is_final:
             return
-        self._book.cancel_job(identity, clocks.read_wall())
+        self._cluster.cancel_job(identity, clocks.read_wall())
         logs.write_event(
             "job.cancelled",
             job=identity,
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -1,8 +1,8 @@
 """The owner loads the jobs, schedules them and records what happens.
 
 The election creates an owner for a fencing token; the owner works until it is
-deposed or stopped.  Its state is in its book.  What must survive it is in the
-store before a worker is told.
+deposed or stopped.  Its state is its view of the cluster.  What must survive
+it is in the store before a worker is told.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 from rackvalve.platform import documents
 from rackvalve.platform import machines as machine_clients
 from rackvalve.platform import store as stores
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import fencing_tokens
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import pacing
@@ -112,31 +112,31 @@
         self._greenlets = greenlet_pools.Group()
         self._plan_wanted = event.Event()
         self._confirmed_at = clocks.read_steady()
-        self._book = books.Book(
+        self._cluster = clusters.Cluster(
             configuration,
             inherited_lease=MAX_INHERITED_LEASE_S,
             now=self._confirmed_at,
         )
         self._handler = reports.Handler(
-            self._book,
+            self._cluster,
             lease=timing.WORKER_LEASE_S,
             max_stop_time=durations.stop_time + timing.STOP_MARGIN_S,
             hold_wait=timing.HOLD_WAIT_S,
             hold_most=timing.MAX_HOLD_S,
         )
         self._planner = planners.Planner(
-            self._book,
+            self._cluster,
             planners.Limits(
                 freshness=timing.FRESHNESS_S,
                 entry_grace=timing.ENTRY_GRACE_S,
             ),
         )
         self._reporter = reporters.Reporter(
-            self._book, self._handler, self._planner, resources.telemetry
+            self._cluster, self._handler, self._planner, resources.telemetry
         )
         self.tokens = fencing_tokens.FencingTokens(fence)
         self._registry = worker_registries.WorkerRegistry(
-            self, self._book, on_change=self._plan_wanted.set
+            self, self._cluster, on_change=self._plan_wanted.set
         )
         # Watches the jobs that callers submit and cancel; set by _load.
         self._job_watcher: watchers.Watcher
@@ -148,7 +148,7 @@
             spawn=self._spawn,
         )
         self._recorder = recorders.Recorder(
-            self._book,
+            self._cluster,
             self._writer,
             resources.telemetry,
             keep=durations.keep,
@@ -242,7 +242,7 @@
                 running=len(report.running),
                 ended=len(report.ended),
             )
-        self._book.orders.extend(
+        self._cluster.orders.extend(
             pacing.set_paces(worker, now, self._durations.pace_interval)
         )
         self._reporter.log_begun()
@@ -276,7 +276,7 @@
                 reason=result.value,
                 uncertain=uncertain,
             )
-        self._book.apply_start_result(
+        self._cluster.apply_start_result(
             placed, result, uncertain=uncertain, now=clocks.read_steady()
         )
         self._reporter.log_begun()
@@ -288,7 +288,7 @@
         :param worker: Identity of the worker.
         :param key: Full name of the task and number of the run.
         """
-        self._book.confirm_stop(worker, key, clocks.read_steady())
+        self._cluster.confirm_stop(worker, key, clocks.read_steady())
 
     def _forget_ended(self) -> None:
         """Forget incarnations that were replaced by later ones."""
@@ -343,7 +343,7 @@
         self._spawn(
             admission.Admission(
                 self._resources.adviser,
-                self._book,
+                self._cluster,
                 self._planner,
                 on_change=self._plan_wanted.set,
             ).run
@@ -362,7 +362,7 @@
         known = self._read_all(records.PROGRESS_PREFIX)
         self._writer.load_revisions(known)
         intake = intakes.JobIntake(
-            self._book, known, on_change=self._note_intake
+            self._cluster, known, on_change=self._note_intake
         )
         self._job_watcher = self._watch(
             records.PREFIX, intake.apply_range, intake.apply_changes
@@ -381,8 +381,8 @@
         logs.write_event(
             "owner.loaded",
             fence=self.fence,
-            jobs=len(self._book.jobs),
-            workers=len(self._book.workers),
+            jobs=len(self._cluster.jobs),
+            workers=len(self._cluster.workers),
             seconds=round(clocks.read_steady() - began, 3),
         )
         return watches
@@ -413,7 +413,7 @@
         controller = vm_controllers.VmController(
             self._resources.machines,
             self._resources.view,
-            self._book,
+            self._cluster,
             self._writer,
             self.fence,
             telemetry=self._telemetry,
@@ -464,8 +464,8 @@
     def _check(self, now: float) -> None:
         configuration = self._resources.view.configuration
         if configuration is not None:
-            if configuration.version != self._book.configuration.version:
-                self._book.set_configuration(configuration)
+            if configuration.version != self._cluster.configuration.version:
+                self._cluster.set_configuration(configuration)
         wall = clocks.read_wall()
         for release in self._planner.stop_and_release(now, wall):
             self._reporter.log_release(release)
@@ -477,8 +477,8 @@
         self._recorder.collect(now, wall)
 
     def _send_orders(self) -> None:
-        while self._book.orders:
-            order = self._book.orders.popleft()
+        while self._cluster.orders:
+            order = self._cluster.orders.popleft()
             if self._registry.send(order):
                 self._reporter.log_order(order)
                 continue
--- a/src/rackvalve/manager/recorder.py
+++ b/src/rackvalve/manager/recorder.py
@@ -14,7 +14,7 @@
 from rackvalve.manager import counts
 from rackvalve.manager import timing
 from rackvalve.manager import writer as writers
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import job_starts
 from rackvalve import telemetry as telemetries
 
@@ -22,7 +22,7 @@
 class Recorder:
     """Queues writes of changed jobs, and orders runs once they are recorded.
 
-    :param book: The book.
+    :param cluster: The owner's view of the cluster.
     :param writer: Writes records.
     :param telemetry: The metrics, for jobs that end.
     :param keep: Time for which ended jobs are kept, in seconds.
@@ -31,14 +31,14 @@
 
     def __init__(
         self,
-        book: books.Book,
+        cluster: clusters.Cluster,
         writer: writers.Writer,
         telemetry: telemetries.Telemetry,
         *,
         keep: float,
         on_recorded: Callable[[], None],
     ) -> None:
-        self._book = book
+        self._cluster = cluster
         self._writer = writer
         self._telemetry = telemetry
         self._keep = keep
@@ -57,8 +57,8 @@
 
     def mark_changed(self) -> None:
         """Queue writes of the records of all changed jobs."""
-        for identity, urgent in list(self._book.changed.items()):
-            state = self._book.jobs.get(identity)
+        for identity, urgent in list(self._cluster.changed.items()):
+            state = self._cluster.jobs.get(identity)
             if state is not None:
                 self._writer.enqueue(
                     records.write_key(
@@ -67,20 +67,20 @@
                     functools.partial(self._make_record, state),
                     urgent=urgent,
                 )
-        self._book.changed.clear()
+        self._cluster.changed.clear()
 
     def publish_waiting(self, now: float, wall: float, seen: float) -> None:
         """Write the number of waiting jobs of each queue, with its time.
 
         :param now: Present time, in seconds.
         :param wall: Present time, seconds since 1970.
-        :param seen: Time at which the book is known to have held all jobs, in
-            seconds.
+        :param seen: Time at which the cluster view is known to have held all
+            jobs, in seconds.
         """
         since = now - self._waiting_at
         if since < timing.WAITING_INTERVAL_S:
             return
-        jobs = self._book.open_jobs.values()
+        jobs = self._cluster.open_jobs.values()
         waiting = job_starts.count_waiting(jobs)
         if waiting == self._waiting and since < timing.WAITING_RENEWAL_S:
             return
@@ -103,8 +103,8 @@
 
         The definition is removed first: without its progress it would look
         like a new job, and all its tasks would run again.  For the same reason
-        the book drops the job one collection later, when no read that still
-        found its definition can be in progress.
+        the job leaves the cluster view one collection later, when no read that
+        still found its definition can be in progress.
 
         :param now: Present time, in seconds.
         :param wall: Present time, seconds since 1970.
@@ -114,7 +114,7 @@
         self._collected_at = now
         self._drop_removed()
         limit = wall - self._keep - timing.KEEP_MARGIN_S
-        for state in list(self._book.jobs.values()):
+        for state in list(self._cluster.jobs.values()):
             busy = any(task.runs for task in state.tasks.values())
             if not state.finished or state.finished > limit or busy:
                 continue
@@ -129,9 +129,9 @@
 
     def _drop_removed(self) -> None:
         for identity in self._removed:
-            state = self._book.jobs.pop(identity, None)
+            state = self._cluster.jobs.pop(identity, None)
             if state is not None:
-                self._book.crash_history.crashing_jobs.forget(state)
+                self._cluster.crash_history.crashing_jobs.forget(state)
             self._end_logged.discard(identity)
             self._removing.discard(identity)
         self._removed.clear()
@@ -173,7 +173,7 @@
         if phase in progress.FINAL and state.identity not in self._end_logged:
             self._end_logged.add(state.identity)
             self._log_end(state, phase, now)
-        self._book.order_recorded(state.identity, planned, now)
+        self._cluster.order_recorded(state.identity, planned, now)
         self._on_recorded()
 
     def _log_end(
@@ -183,7 +183,7 @@
         labels = (state.queue, phase.value)
         self._telemetry.jobs_ended.labels(*labels).inc()
         self._telemetry.job_seconds.labels(*labels).observe(taken)
-        queue = self._book.queues.get(state.queue)
+        queue = self._cluster.queues.get(state.queue)
         logs.write_event(
             "job.ended",
             job=state.identity,
--- a/src/rackvalve/manager/reporter.py
+++ b/src/rackvalve/manager/reporter.py
@@ -8,7 +8,7 @@
 from rackvalve import logs
 from rackvalve.manager import timing
 from rackvalve.scheduling import blockers
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import planner as planners
 from rackvalve.scheduling import releases
@@ -23,14 +23,14 @@
 class Reporter:
     """Logs and counts one owner's orders, ended runs, bounds and stalled jobs.
 
-    :param book: The owner's book.
-    :param handler: Applies workers' reports to the book.
+    :param cluster: The owner's view of the cluster.
+    :param handler: Applies workers' reports.
     :param planner: Plans the runs.
     :param telemetry: The metrics.
     """
 
     __slots__ = (
-        "_book",
+        "_cluster",
         "_handler",
         "_planner",
         "_telemetry",
@@ -41,19 +41,19 @@
 
     def __init__(
         self,
-        book: books.Book,
+        cluster: clusters.Cluster,
         handler: reports.Handler,
         planner: planners.Planner,
         telemetry: telemetries.Telemetry,
     ) -> None:
-        self._book = book
+        self._cluster = cluster
         self._handler = handler
         self._planner = planner
         self._telemetry = telemetry
         # When workspaces at their bounds were last logged, in seconds.
         self._bounds_logged_at = float("-inf")
         self._stall_detector = stalls.StallDetector(
-            book, planner, timing.FRESHNESS_S
+            cluster, planner, timing.FRESHNESS_S
         )
         # When the last scan for stalled jobs was made, in seconds.
         self._scanned_at = float("-inf")
@@ -70,7 +70,7 @@
         """
         if isinstance(order, messages.StartRun):
             self._count_start(order)
-            task = self._book.jobs[order.job].tasks[order.task]
+            task = self._cluster.jobs[order.job].tasks[order.task]
             logs.write_event(
                 "run.ordered",
                 job=order.job,
@@ -98,7 +98,7 @@
             )
 
     def _count_start(self, order: messages.StartRun) -> None:
-        state = self._book.jobs[order.job]
+        state = self._cluster.jobs[order.job]
         self._telemetry.runs_ordered.labels(state.queue).inc()
         if order.run == 1:
             waited = clocks.read_steady() - state.arrived
@@ -113,10 +113,10 @@
             return
         self._bounds_logged_at = now
         for name, tasks in self._planner.held.items():
-            workspace = self._book.configuration.workspaces.find(name)
+            workspace = self._cluster.configuration.workspaces.find(name)
             if not tasks or workspace is None:
                 continue
-            used = self._book.usage.used(name)
+            used = self._cluster.usage.used(name)
             logs.write_event(
                 "workspace.held",
                 workspace=name,
@@ -127,20 +127,20 @@
                 memory_bound=workspace.bound.memory,
                 gpu=used.gpu,
                 gpu_bound=workspace.bound.gpu,
-                version=self._book.configuration.version,
+                version=self._cluster.configuration.version,
             )
 
     def log_begun(self) -> None:
         """Log the jobs that have begun since the last call."""
         now = clocks.read_steady()
-        for state in self._book.begun:
+        for state in self._cluster.begun:
             logs.write_event(
                 "job.begun",
                 job=state.identity,
                 queue=state.queue,
                 seconds=round(now - state.arrived, 3),
             )
-        self._book.begun.clear()
+        self._cluster.begun.clear()
 
     def log_ends(self) -> None:
         """Log and count the ended runs handled since the last call."""
--- a/src/rackvalve/manager/vm_controller.py
+++ b/src/rackvalve/manager/vm_controller.py
@@ -22,8 +22,8 @@
 from rackvalve.platform import documents
 from rackvalve.platform import machines as clients
 from rackvalve.platform import store as stores
-from rackvalve.scheduling import book as books
 from rackvalve.scheduling import closures
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import maintenance as maintenances
 from rackvalve.scheduling import sizing as sizings
@@ -70,7 +70,7 @@
 
     :param machines: The platform's interface to its VMs.
     :param view: The operator's waves and evacuations.
-    :param book: The owner's book.
+    :param cluster: The owner's view of the cluster.
     :param writer: Writes records.
     :param fence: Fencing token.
     :param telemetry: Metrics of orders and sizes.
@@ -85,7 +85,7 @@
         self,
         machines: clients.Machines,
         view: views.View,
-        book: books.Book,
+        cluster: clusters.Cluster,
         writer: writers.Writer,
         fence: int,
         *,
@@ -97,16 +97,16 @@
         self._spawn = spawn
         self._machines = machines
         self._view = view
-        self._book = book
+        self._cluster = cluster
         self._writer = writer
         self._fence = fence
         self._telemetry = telemetry
         self._on_change = on_change
-        self._maintenance = maintenances.MaintenancePlanner(book)
+        self._maintenance = maintenances.MaintenancePlanner(cluster)
         self._detector = failure_detector.FailureDetector(
-            book, self._maintenance
+            cluster, self._maintenance
         )
-        self._sizer = sizings.Sizer(book, self._maintenance, self._detector)
+        self._sizer = sizings.Sizer(cluster, self._maintenance, self._detector)
         self._order_pause = order_pause
         # VMs on hold because of an uncertain order or one of an earlier owner,
         # and until when.
@@ -211,7 +211,7 @@
             if now >= until:
                 del self._held[vm]
                 self._uncertain.discard(vm)
-                for worker in self._book.workers_by_vm.find(vm):
+                for worker in self._cluster.workers_by_vm.find(vm):
                     worker.ordered_away = False
                 # If the list does not show the move, it did not happen.
                 self._sizer.forget_move(vm)
@@ -279,8 +279,8 @@
         self._on_change()
 
     def _apply_closures(self) -> None:
-        """Set which VMs are closed and why, in the book and its workers."""
-        self._book.set_evacuated(self._view.evacuated)
+        """Set which VMs are closed and why, in the owner's view."""
+        self._cluster.set_evacuated(self._view.evacuated)
         pending = self._maintenance.list_pending()
         closed = {
             vm: closures.Closure(reason=UNCERTAIN) for vm in self._uncertain
@@ -288,9 +288,9 @@
         closed |= self._sizer.find_closures()
         for vm in self._maintenance.list_leaving():
             closed[vm] = closures.Closure(reason=maintenances.CLOSED)
-        self._book.closures.set(closed)
-        for worker in self._book.workers.values():
-            self._book.closures.apply(worker)
+        self._cluster.closures.set(closed)
+        for worker in self._cluster.workers.values():
+            self._cluster.closures.apply(worker)
             vm = worker.entry.vm if worker.entry is not None else ""
             worker.maintenance_pending = vm in pending
 
@@ -361,7 +361,7 @@
         :param vm: The VM.
         :return: The workers.
         """
-        affected = self._book.workers_by_vm.find(vm)
+        affected = self._cluster.workers_by_vm.find(vm)
         for worker in affected:
             worker.ordered_away = True
         return affected
--- a/src/rackvalve/manager/worker_registry.py
+++ b/src/rackvalve/manager/worker_registry.py
@@ -21,7 +21,7 @@
 from rackvalve.platform import documents
 from rackvalve.platform import store as stores
 from rackvalve.platform import workers as clients
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import endings
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import messages
@@ -31,16 +31,16 @@
 
 
 class WorkerRegistry:
-    """Applies workers' entries to the book and opens and closes sessions.
+    """Applies workers' entries to the owner's view and manages sessions.
 
     :param owner: Receives the reports and answers of workers.
-    :param book: The owner's book.
+    :param cluster: The owner's view of the cluster.
     :param on_change: Called after workers were added, changed or removed.
     """
 
     __slots__ = (
         "_owner",
-        "_book",
+        "_cluster",
         "_on_change",
         "_sessions",
         "_pending_stops",
@@ -49,12 +49,12 @@
     def __init__(
         self,
         owner: protocols.SessionOwner,
-        book: books.Book,
+        cluster: clusters.Cluster,
         *,
         on_change: Callable[[], None],
     ) -> None:
         self._owner = owner
-        self._book = book
+        self._cluster = cluster
         self._on_change = on_change
         self._sessions: dict[str, worker_sessions.WorkerSession] = {}
         # Orders to stop runs on workers without a session: an entry may be
@@ -100,10 +100,10 @@
             self._apply_entry(item)
             present.add(documents.worker_of(item.key))
         now = clocks.read_steady()
-        for worker in self._book.workers.values():
+        for worker in self._cluster.workers.values():
             name = worker.incarnation.worker
             if worker.entry is not None and name not in present:
-                self._book.remove_entry(name, now)
+                self._cluster.remove_entry(name, now)
         self._open_recorded(now)
         self._on_change()
 
@@ -118,7 +118,7 @@
         written = {item.key: item.revision for item in changes.written}
         for key, revision in changes.removed:
             if written.get(key, 0) < revision:
-                self._book.remove_entry(documents.worker_of(key), now)
+                self._cluster.remove_entry(documents.worker_of(key), now)
         self._on_change()
 
     def end_incarnation(
@@ -132,7 +132,7 @@
             worker.
         """
         self.forget(identity)
-        worker = self._book.workers.get(identity)
+        worker = self._cluster.workers.get(identity)
         if worker is not None:
             logs.write_event(
                 "worker.over",
@@ -141,7 +141,7 @@
                 runs=len(worker.runs),
             )
         release = endings.end_incarnation(
-            self._book,
+            self._cluster,
             identity,
             reason,
             now=clocks.read_steady(),
@@ -172,7 +172,7 @@
         :param born: When the later one began, in milliseconds since 1970.
         """
         now = clocks.read_steady()
-        later = worker_restarts.note_replaced(self._book, worker, born, now)
+        later = worker_restarts.note_replaced(self._cluster, worker, born, now)
         if later is None or later.location is None:
             return
         logs.write_event(
@@ -191,7 +191,7 @@
 
         :param now: Present time, in seconds.
         """
-        for identity, worker in list(self._book.workers.items()):
+        for identity, worker in list(self._cluster.workers.items()):
             if worker.runs or not worker.is_expired(now):
                 continue
             is_missing = (
@@ -212,7 +212,7 @@
         the runs; otherwise each owner in turn would wait for the longest lease
         that an earlier one may have granted.
         """
-        for identity, worker in self._book.workers.items():
+        for identity, worker in self._cluster.workers.items():
             if worker.entry is not None or worker.location is None:
                 continue
             if identity in self._sessions:
@@ -241,7 +241,10 @@
             worker.identity,
             timeout=timing.ORDER_TIMEOUT_S,
         )
-        if len(self._book.workers_by_name.find(worker.incarnation.worker)) > 1:
+        if (
+            len(self._cluster.workers_by_name.find(worker.incarnation.worker))
+            > 1
+        ):
             # A greater token, so that this incarnation rejects calls that
             # were sent to earlier ones.
             self._owner.tokens.raise_for(
@@ -262,19 +265,19 @@
             # The worker gets no work, but an incarnation that had a valid
             # entry before is not over.
             name = documents.worker_of(item.key)
-            self._book.remove_entry(name, clocks.read_steady())
+            self._cluster.remove_entry(name, clocks.read_steady())
             return
         self._log_entry(entry, item.revision)
-        worker = self._book.set_entry(entry)
+        worker = self._cluster.set_entry(entry)
         name = worker.incarnation.worker
-        self._book.remove_entry(name, clocks.read_steady(), besides=worker)
+        self._cluster.remove_entry(name, clocks.read_steady(), besides=worker)
         if worker.identity not in self._sessions:
             session = self._open_session(worker, entry.location)
             for order in self._pending_stops.pop(worker.identity, []):
                 session.send(order)
 
     def _log_entry(self, entry: fleet.Entry, revision: int) -> None:
-        known = self._book.workers.get(entry.identity)
+        known = self._cluster.workers.get(entry.identity)
         if known is None or known.entry is None:
             logs.write_event(
                 "worker.found",
--- a/src/rackvalve/manager/worker_session.py
+++ b/src/rackvalve/manager/worker_session.py
@@ -98,8 +98,8 @@
         try:
             function()
         except Exception:
-            # The book may be half changed; another process takes over, from
-            # the records in the store.
+            # The owner's view may be half changed; another process takes over,
+            # from the records in the store.
             logs.write_failure("task.failed", message=self._worker.identity)
             self._owner.depose("an unexpected error; see task.failed")
 
--- a/src/rackvalve/scheduling/blockers.py
+++ b/src/rackvalve/scheduling/blockers.py
@@ -15,7 +15,7 @@
 
 from rackvalve.jobs import definition
 from rackvalve.jobs import progress
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import crashes
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import maintenance
@@ -190,23 +190,23 @@
 class BlockerFinder:
     """Finds what keeps jobs from running, at one time.
 
-    :param book: The book.
+    :param cluster: The owner's view of the cluster.
     :param planner: Its planner.
     :param now: Present time, in seconds.
     :param freshness: Longest accepted age of a worker's last answer, in
         seconds.
     """
 
-    __slots__ = ("_book", "_planner", "_now", "_freshness", "_pools")
+    __slots__ = ("_cluster", "_planner", "_now", "_freshness", "_pools")
 
     def __init__(
         self,
-        book: books.Book,
+        cluster: clusters.Cluster,
         planner: planners.Planner,
         now: float,
         freshness: float,
     ) -> None:
-        self._book = book
+        self._cluster = cluster
         self._planner = planner
         self._now = now
         self._freshness = freshness
@@ -220,7 +220,7 @@
         found = self._pools.get(name)
         if found is None:
             found = self._pools[name] = PoolState(
-                self._book.workers_by_pool.find(name),
+                self._cluster.workers_by_pool.find(name),
                 self._planner.list_members(name, self._now),
                 self._planner.list_reserved(name),
                 self._now,
@@ -254,7 +254,7 @@
             worker that answers.
         :return: ``None`` if no task's turn has come.
         """
-        queue = self._book.queues.get(state.queue)
+        queue = self._cluster.queues.get(state.queue)
         if queue is None:
             return Blocker(cause=Cause.NO_QUEUE, since=self._now)
         starting = self._find_pending_start(runs, queue.pool)
@@ -274,7 +274,7 @@
         return found
 
     def _answers(self, placed: workers.PlacedRun) -> bool:
-        worker = self._book.workers.get(placed.run.worker)
+        worker = self._cluster.workers.get(placed.run.worker)
         if worker is None or not worker.established:
             return False
         return self._now - worker.last_answer_at <= self._freshness
@@ -342,8 +342,8 @@
         if not pool.takes_work:
             return Cause.NO_WORKER
         asked = step.tasks if step.gang else 1
-        workspace = self._book.find_workspace(state)
-        allowed = self._book.usage.count_allowed(
+        workspace = self._cluster.find_workspace(state)
+        allowed = self._cluster.usage.count_allowed(
             workspace, fleet.get_charge(step), asked
         )
         if allowed < asked:
@@ -363,9 +363,9 @@
         """Find what would prove that runs on silent workers are over."""
         names = tuple({placed.run.worker: None for placed in runs})
         found = [
-            self._book.workers[name]
+            self._cluster.workers[name]
             for name in names
-            if name in self._book.workers
+            if name in self._cluster.workers
         ]
         first = min(
             found, key=lambda worker: worker.lease_expiry, default=None
@@ -380,7 +380,7 @@
         answered = min(worker.last_answer_at for worker in found)
         return Blocker(
             cause=Cause.NO_PROOF,
-            since=max(self._book.owned_since, answered),
+            since=max(self._cluster.owned_since, answered),
             pool=pool,
             workers=names,
             proof_in=max(0.0, first.lease_expiry - self._now),
--- a/src/rackvalve/scheduling/book.py
+++ b/src/rackvalve/scheduling/cluster.py
@@ -1,4 +1,4 @@
-"""One owner's jobs, workers and runs, which planner and reports change.
+"""An owner's view of the cluster, which planner and reports change.
 
 A task never has two runs at the same time: a run is removed only when its end
 was reported, when its worker answers under this owner's fencing token that it
@@ -38,8 +38,8 @@
 REJECTED_RETRY_DELAY_S = 0.02
 
 
-class Book:
-    """State of the jobs, workers and runs of one owner.
+class Cluster:
+    """An owner's view of the cluster: workers, runs and jobs.
 
     :param configuration: The operator's configuration.
     :param inherited_lease: Longest time that runs started by an earlier owner
--- a/src/rackvalve/scheduling/crashing_jobs.py
+++ b/src/rackvalve/scheduling/crashing_jobs.py
@@ -1,6 +1,6 @@
 """Jobs that failed for crashing their workers, by what they run.
 
-The book matches each job that arrives against them: a job that runs the same
+The owner matches each job that arrives against them: a job that runs the same
 as a crashing job is a suspect before its first start.  An entry is removed
 with the crashing job's record, and all entries of a signature are removed
 when a task that runs the same succeeds.
--- a/src/rackvalve/scheduling/demand.py
+++ b/src/rackvalve/scheduling/demand.py
@@ -5,7 +5,7 @@
 import dataclasses
 
 from rackvalve.jobs import progress
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import fleet
 
 # Jobs that arrived within this time count as new, in seconds; the same as the
@@ -34,15 +34,15 @@
 NONE = Demand(vms=0.0, largest=0.0)
 
 
-def measure(book: books.Book, now: float) -> dict[str, Demand]:
+def measure(cluster: clusters.Cluster, now: float) -> dict[str, Demand]:
     """Measure the demand of each pool.
 
-    :param book: The book.
+    :param cluster: The owner's view of the cluster.
     :param now: Present time, in seconds.
     """
     needs: dict[str, fleet.Resources] = {}
     units: dict[str, fleet.Resources] = {}
-    for worker in book.workers.values():
+    for worker in cluster.workers.values():
         if worker.entry is None:
             continue
         pool = worker.entry.pool
@@ -51,9 +51,9 @@
         needs[pool] = needs.get(pool, fleet.NO_RESOURCES).plus(used)
     largest: dict[str, float] = {}
     arrivals: dict[str, int] = {}
-    bounds = _Bounds(book)
-    for state in book.open_jobs.values():
-        queue = book.queues.get(state.queue)
+    bounds = _Bounds(cluster)
+    for state in cluster.open_jobs.values():
+        queue = cluster.queues.get(state.queue)
         if queue is None:
             continue
         pool = queue.pool
@@ -81,22 +81,22 @@
     Tasks beyond their workspace's bound need no VM, as they cannot start.
     """
 
-    __slots__ = ("_book", "_left")
+    __slots__ = ("_cluster", "_left")
 
-    def __init__(self, book: books.Book) -> None:
-        self._book = book
+    def __init__(self, cluster: clusters.Cluster) -> None:
+        self._cluster = cluster
         self._left: dict[str, fleet.Resources] = {}
 
     def take(
         self, state: progress.JobState, request: fleet.Resources
     ) -> fleet.Resources:
         """Return the part of a job's request that may run, and count it."""
-        workspace = self._book.find_workspace(state)
+        workspace = self._cluster.find_workspace(state)
         if workspace is None or workspace.bound == fleet.NO_RESOURCES:
             return request
         left = self._left.get(workspace.name)
         if left is None:
-            left = self._book.usage.left(workspace)
+            left = self._cluster.usage.left(workspace)
         allowed = request.within(left)
         self._left[workspace.name] = left.minus(allowed)
         return allowed
--- a/src/rackvalve/scheduling/endings.py
+++ b/src/rackvalve/scheduling/endings.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from rackvalve.jobs import progress
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import crashes
 from rackvalve.scheduling import releases
 from rackvalve.scheduling import workers
 
 
 def release_all(
-    book: books.Book,
+    cluster: clusters.Cluster,
     worker: workers.WorkerState,
     proof: str,
     *,
@@ -19,7 +19,7 @@
 ) -> releases.Release:
     """Release all runs of a worker that are proved over.
 
-    :param book: The book.
+    :param cluster: The owner's view of the cluster.
     :param worker: The worker.
     :param proof: Reason why they are known to be over.
     :param now: Present time, in seconds.
@@ -30,7 +30,7 @@
     fate = releases.determine_fate(worker, proof)
     is_series = False
     if fate is releases.Fate.CRASHED and worker.entry is not None:
-        is_series = book.crash_history.series.note(worker.entry.pool, now)
+        is_series = cluster.crash_history.series.note(worker.entry.pool, now)
     crashes.attribute_crash(ended, fate, now, is_series=is_series)
     for placed in ended:
         # Failures of lasting tasks are not counted against a limit.
@@ -38,47 +38,55 @@
             placed.task.unreported_runs.add(placed.run.number)
     release = releases.make_release(worker, proof, now)
     for placed in ended:
-        book.release(placed, now)
+        cluster.release(placed, now)
     for placed in ended:
-        _fail_if_crashing(book, placed, wall)
+        _fail_if_crashing(cluster, placed, wall)
     return release
 
 
 def release_expired(
-    book: books.Book, worker: workers.WorkerState, now: float, wall: float
+    cluster: clusters.Cluster,
+    worker: workers.WorkerState,
+    now: float,
+    wall: float,
 ) -> releases.Release:
     """Release all runs of a worker whose leases have expired.
 
-    :param book: The book.
+    :param cluster: The owner's view of the cluster.
     :param worker: The worker.
     :param now: Present time, in seconds.
     :param wall: Present time, seconds since 1970.
     :return: The released runs.
     """
     proof = releases.find_proof(worker)
-    return release_all(book, worker, proof, now=now, wall=wall)
+    return release_all(cluster, worker, proof, now=now, wall=wall)
 
 
 def end_incarnation(
-    book: books.Book, identity: str, proof: str, *, now: float, wall: float
+    cluster: clusters.Cluster,
+    identity: str,
+    proof: str,
+    *,
+    now: float,
+    wall: float,
 ) -> releases.Release | None:
     """Remove an incarnation of a worker that is over, and release its runs.
 
-    :param book: The book.
+    :param cluster: The owner's view of the cluster.
     :param identity: Identity of the incarnation.
     :param proof: Reason why it is known to be over.
     :param now: Present time, in seconds.
     :param wall: Present time, seconds since 1970.
     :return: The released runs; ``None`` if the incarnation is not known.
     """
-    worker = book.remove_incarnation(identity)
+    worker = cluster.remove_incarnation(identity)
     if worker is None:
         return None
-    return release_all(book, worker, proof, now=now, wall=wall)
+    return release_all(cluster, worker, proof, now=now, wall=wall)
 
 
 def _fail_if_crashing(
-    book: books.Book, placed: workers.PlacedRun, wall: float
+    cluster: clusters.Cluster, placed: workers.PlacedRun, wall: float
 ) -> None:
     """Fail a job if it alone can have caused its workers' crashes."""
     task, state = placed.task, placed.state
@@ -89,7 +97,9 @@
         f"{task.crashes} workers crashed under task {task.name}; of the "
         f"crashes under this job no other job can have caused {isolated}"
     )
-    book.finish_job(state, progress.Phase.FAILED, wall, reason)
-    book.crash_history.crashing_jobs.match(state, book.open_jobs.values())
-    for other in crashes.discount_explained(state, book.open_jobs.values()):
-        book.mark_changed(other)
+    cluster.finish_job(state, progress.Phase.FAILED, wall, reason)
+    cluster.crash_history.crashing_jobs.match(
+        state, cluster.open_jobs.values()
+    )
+    for other in crashes.discount_explained(state, cluster.open_jobs.values()):
+        cluster.mark_changed(other)
--- a/src/rackvalve/scheduling/eviction.py
+++ b/src/rackvalve/scheduling/eviction.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from rackvalve.jobs import progress
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import workers
 
 READY_PERCENT = 100
@@ -19,18 +19,20 @@
 MAX_REST_S = 3.0
 
 
-def is_ready(book: books.Book, task: progress.Task, now: float) -> bool:
+def is_ready(
+    cluster: clusters.Cluster, task: progress.Task, now: float
+) -> bool:
     """Return whether a lasting task is ready, as far as known.
 
     A task on a silent worker counts as away, and so does a task that an
     earlier owner may just have ordered to stop.
 
-    :param book: The book.
+    :param cluster: The owner's view of the cluster.
     :param task: The task.
     :param now: Present time, in seconds.
     """
     for run in task.runs.values():
-        worker = book.workers.get(run.worker)
+        worker = cluster.workers.get(run.worker)
         if (
             worker is not None
             and now - worker.last_alive_at <= SILENCE_S
@@ -43,14 +45,16 @@
     return False
 
 
-def may_evict(book: books.Book, placed: workers.PlacedRun, now: float) -> bool:
+def may_evict(
+    cluster: clusters.Cluster, placed: workers.PlacedRun, now: float
+) -> bool:
     """Return whether a lasting task may be stopped and started elsewhere.
 
-    :param book: The book.
+    :param cluster: The owner's view of the cluster.
     :param placed: The run.
     :param now: Present time, in seconds.
     """
-    worker = book.workers.get(placed.run.worker)
+    worker = cluster.workers.get(placed.run.worker)
     if worker is None or now < worker.inherited_stops_end:
         return False
     # The task may have become ready since its worker's last report, so its own
@@ -62,7 +66,7 @@
         if other.name.step == name.step
         and other.name.repetition == name.repetition
         and other is not placed.task
-        and not is_ready(book, other, now)
+        and not is_ready(cluster, other, now)
     )
     # A step without a limit is still moved one task at a time.
     return away < max(1, placed.step.most_away)
@@ -82,11 +86,14 @@
 
 
 def vacate(
-    book: books.Book, worker: workers.WorkerState, grace: float, now: float
+    cluster: clusters.Cluster,
+    worker: workers.WorkerState,
+    grace: float,
+    now: float,
 ) -> bool:
     """Stop the runs that have to leave a closed worker.
 
-    :param book: The book.
+    :param cluster: The owner's view of the cluster.
     :param worker: The worker.
     :param grace: Grace period for tasks that are not lasting, in seconds from
         their start.
@@ -98,12 +105,12 @@
         if run.stop_wanted:
             continue
         if placed.step.lasting:
-            leave = may_evict(book, placed, now)
+            leave = may_evict(cluster, placed, now)
         else:
             leave = (
                 now - run.since > grace
                 and estimate_rest(run, now) > MAX_REST_S
             )
         if leave:
-            book.stop(placed.state, placed.task, run, "its VM is to leave")
+            cluster.stop(placed.state, placed.task, run, "its VM is to leave")
     return not worker.runs
--- a/src/rackvalve/scheduling/failure_detector.py
+++ b/src/rackvalve/scheduling/failure_detector.py
@@ -12,7 +12,7 @@
 
 from collections.abc import Collection
 
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import listings
 from rackvalve.scheduling import maintenance as maintenances
 from rackvalve.scheduling import workers
@@ -34,12 +34,12 @@
 class FailureDetector:
     """Checks the last answers of all workers and the platform's list of VMs.
 
-    :param book: The book with the workers.
+    :param cluster: The owner's view of the cluster.
     :param maintenance: Has the platform's list of VMs.
     """
 
     __slots__ = (
-        "_book",
+        "_cluster",
         "_maintenance",
         "_listings",
         "_first_seen",
@@ -50,9 +50,11 @@
     )
 
     def __init__(
-        self, book: books.Book, maintenance: maintenances.MaintenancePlanner
+        self,
+        cluster: clusters.Cluster,
+        maintenance: maintenances.MaintenancePlanner,
     ) -> None:
-        self._book = book
+        self._cluster = cluster
         self._maintenance = maintenance
         self._listings = listings.Listings()
         # When each worker was first checked, in seconds.
@@ -77,13 +79,13 @@
             self._maintenance.read,
             {
                 worker.incarnation.worker
-                for worker in self._book.workers.values()
+                for worker in self._cluster.workers.values()
             },
         )
         # Includes workers that only records name, without an entry.
         known = {
             worker.identity: worker
-            for worker in self._book.workers.values()
+            for worker in self._cluster.workers.values()
             if worker.location is not None
         }
         self._first_seen = {
@@ -150,7 +152,7 @@
     def _find_silent_halls(self, silent: Collection[str]) -> set[str]:
         counts: dict[str, int] = {}
         answering: set[str] = set()
-        for worker in self._book.workers.values():
+        for worker in self._cluster.workers.values():
             if worker.entry is None:
                 continue
             hall = worker.entry.hall
--- a/src/rackvalve/scheduling/isolation.py
+++ b/src/rackvalve/scheduling/isolation.py
@@ -14,7 +14,7 @@
 
 from rackvalve.jobs import definition
 from rackvalve.jobs import progress
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import crashes
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import placement
@@ -141,14 +141,16 @@
 class Isolator:
     """Starts suspects isolated, and reserves workers of a pool for them.
 
-    :param book: The book of workers and runs.
+    :param cluster: The owner's view of the cluster.
     :param starter: Places runs.
     """
 
-    __slots__ = ("_book", "_starter")
+    __slots__ = ("_cluster", "_starter")
 
-    def __init__(self, book: books.Book, starter: starters.Starter) -> None:
-        self._book = book
+    def __init__(
+        self, cluster: clusters.Cluster, starter: starters.Starter
+    ) -> None:
+        self._cluster = cluster
         self._starter = starter
 
     def plan(
@@ -284,7 +286,7 @@
         found = set()
         for task in state.tasks.values():
             run = task.runs.get(task.isolated_run)
-            worker = self._book.workers.get(run.worker) if run else None
+            worker = self._cluster.workers.get(run.worker) if run else None
             if worker is not None and crashes.is_isolating(worker):
                 found.add(worker.identity)
         return found
--- a/src/rackvalve/scheduling/job_starts.py
+++ b/src/rackvalve/scheduling/job_starts.py
@@ -1,4 +1,4 @@
-"""Which jobs have begun, and how many have not; the book and reports use it.
+"""Which jobs have begun, and how many not; cluster and reports use it.
 
 A job has begun once a worker has reported a run of one of its tasks.  A start
 that is planned, recorded or in flight does not count: it may be rejected or
--- a/src/rackvalve/scheduling/maintenance.py
+++ b/src/rackvalve/scheduling/maintenance.py
@@ -12,7 +12,7 @@
 import dataclasses
 import math
 
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import eviction
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import workers
@@ -57,18 +57,18 @@
     wave: int
 
 
-def measure_spreads(book: books.Book) -> dict[str, int]:
+def measure_spreads(cluster: clusters.Cluster) -> dict[str, int]:
     """Return how many VMs each pool needs to place all lasting tasks.
 
     A step that limits its tasks per worker needs many workers, however few
     resources its tasks take.
 
-    :param book: The book.
+    :param cluster: The owner's view of the cluster.
     :return: Number of VMs by pool.
     """
     spreads: dict[str, int] = {}
-    for state in book.open_jobs.values():
-        queue = book.queues.get(state.queue)
+    for state in cluster.open_jobs.values():
+        queue = cluster.queues.get(state.queue)
         if queue is None:
             continue
         for step in state.job.steps:
@@ -125,13 +125,13 @@
 class MaintenancePlanner:
     """Decides which VMs all waves close, vacate and maintain.
 
-    :param book: The book whose workers are closed and vacated.
+    :param cluster: The cluster whose workers are closed and vacated.
     """
 
-    __slots__ = ("_book", "waves", "vms", "read", "held", "moving")
+    __slots__ = ("_cluster", "waves", "vms", "read", "held", "moving")
 
-    def __init__(self, book: books.Book) -> None:
-        self._book = book
+    def __init__(self, cluster: clusters.Cluster) -> None:
+        self._cluster = cluster
         self.waves: dict[int, WaveState] = {}
         self.vms: dict[str, fleet.Vm] = {}
         # When the read of the platform's list of VMs began.
@@ -247,10 +247,10 @@
 
         :param vm: The VM.
         """
-        found = self._book.workers_by_vm.find(vm)
+        found = self._cluster.workers_by_vm.find(vm)
         listed = self.vms.get(vm)
         named = (
-            self._book.workers_by_name.find(listed.worker) if listed else []
+            self._cluster.workers_by_name.find(listed.worker) if listed else []
         )
         return found + [worker for worker in named if worker not in found]
 
@@ -267,7 +267,7 @@
         empty = True
         for worker in self.find_workers(vm):
             worker.close_reason = reason
-            left = eviction.vacate(self._book, worker, grace, now)
+            left = eviction.vacate(self._cluster, worker, grace, now)
             empty = empty and left
         return empty
 
@@ -350,7 +350,7 @@
             and state.not_before.get(vm, 0.0) <= now
         ]
         open_vms.sort(key=self._rank_by_cost)
-        spreads = measure_spreads(self._book)
+        spreads = measure_spreads(self._cluster)
         late = now > state.began + PLANNED_PART * state.wave.duration
         part = MAX_POOL_PART_LATE if late else MAX_POOL_PART
         for vm in open_vms:
@@ -413,7 +413,7 @@
 
     def _is_spare(self, vm: str) -> bool:
         listed = self.vms.get(vm)
-        pools = self._book.configuration.pools
+        pools = self._cluster.configuration.pools
         pool = pools.get(listed.pool) if listed is not None else None
         return pool is not None and pool.spare
 
--- a/src/rackvalve/scheduling/objectives.py
+++ b/src/rackvalve/scheduling/objectives.py
@@ -5,7 +5,7 @@
 import enum
 
 from rackvalve.jobs import progress
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import queues
 
 # A job that takes longer than this many times its objective earns nothing.
@@ -29,23 +29,23 @@
 
 
 def grade(
-    book: books.Book,
+    cluster: clusters.Cluster,
     state: progress.JobState,
     queue: queues.Queue,
     now: float,
 ) -> Grade:
     """Grade a job by its objective and its workspace's paid rate.
 
-    :param book: The book, for the times of tasks that have ended.
+    :param cluster: The cluster, for the times of tasks that have ended.
     :param state: The job.
     :param queue: Its queue.
     :param now: Present time, in seconds.
     """
-    objective = estimate_objective(book, state, queue)
+    objective = estimate_objective(cluster, state, queue)
     age = now - state.arrived
     if age > WORTHLESS_RATIO * objective:
         return Grade.WORTHLESS
-    left = estimate_critical_path(book, state, open_only=True)
+    left = estimate_critical_path(cluster, state, open_only=True)
     if age + left > objective:
         return Grade.LATE
     return Grade.IN_TIME if state.guaranteed else Grade.BEYOND_RATE
@@ -65,29 +65,32 @@
 
 
 def estimate_objective(
-    book: books.Book, state: progress.JobState, queue: queues.Queue
+    cluster: clusters.Cluster, state: progress.JobState, queue: queues.Queue
 ) -> float:
     """Return the time within which a job should end, in seconds.
 
-    :param book: The book, for the times of tasks that have ended.
+    :param cluster: The cluster, for the times of tasks that have ended.
     :param state: The job.
     :param queue: Its queue.
     """
     return queue.allowance + queue.stretch * estimate_critical_path(
-        book, state
+        cluster, state
     )
 
 
 def estimate_critical_path(
-    book: books.Book, state: progress.JobState, *, open_only: bool = False
+    cluster: clusters.Cluster,
+    state: progress.JobState,
+    *,
+    open_only: bool = False,
 ) -> float:
     """Return the duration of a job's critical path of steps, in seconds.
 
-    :param book: The book, for the times of tasks that have ended.
+    :param cluster: The cluster, for the times of tasks that have ended.
     :param state: The job.
     :param open_only: Whether steps that are done do not count.
     """
-    typical = book.durations.get(state.queue, 0.0)
+    typical = cluster.durations.get(state.queue, 0.0)
     longest: list[float] = []
     for number, step in enumerate(state.job.steps):
         before = max((longest[n] for n in step.after), default=0.0)
--- a/src/rackvalve/scheduling/planner.py
+++ b/src/rackvalve/scheduling/planner.py
@@ -16,7 +16,7 @@
 
 from rackvalve.jobs import definition
 from rackvalve.jobs import progress
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import crashes
 from rackvalve.scheduling import endings
 from rackvalve.scheduling import eviction
@@ -63,14 +63,14 @@
 
 
 class Planner:
-    """Decides what starts and what stops among the jobs of a book.
+    """Decides what starts and what stops among the jobs of an owner.
 
-    :param book: The book.
+    :param cluster: The owner's view of the cluster.
     :param limits: Time limits.
     """
 
     __slots__ = (
-        "_book",
+        "_cluster",
         "_limits",
         "_views",
         "_starter",
@@ -79,12 +79,12 @@
         "held",
     )
 
-    def __init__(self, book: books.Book, limits: Limits) -> None:
-        self._book = book
+    def __init__(self, cluster: clusters.Cluster, limits: Limits) -> None:
+        self._cluster = cluster
         self._limits = limits
         self._views: dict[str, placement.PoolView] = {}
-        self._starter = starters.Starter(book)
-        self._isolator = isolation.Isolator(book, self._starter)
+        self._starter = starters.Starter(cluster)
+        self._isolator = isolation.Isolator(cluster, self._starter)
         # Admitted workers by step, for queues with an admission service.
         self.tickets = self._starter.tickets
         # Number of tasks by workspace that its bound kept from starting in the
@@ -99,10 +99,10 @@
         :return: How many runs were planned.
         """
         waiting: dict[str, list[progress.JobState]] = {}
-        for state in self._book.open_jobs.values():
+        for state in self._cluster.open_jobs.values():
             if state.job.repetitions:
                 state.open_steps(wall)
-            queue = self._book.queues.get(state.queue)
+            queue = self._cluster.queues.get(state.queue)
             if state.waiting and queue is not None:
                 waiting.setdefault(queue.pool, []).append(state)
         planned = 0
@@ -131,17 +131,19 @@
         :return: What was released.
         """
         released: list[releases.Release] = []
-        for worker in list(self._book.workers.values()):
+        for worker in list(self._cluster.workers.values()):
             if worker.runs and worker.is_expired(now):
-                over = endings.release_expired(self._book, worker, now, wall)
+                over = endings.release_expired(
+                    self._cluster, worker, now, wall
+                )
                 released.append(over)
                 continue
             for placed in list(worker.runs.values()):
                 self._check_run(worker, placed, now)
             if self._is_silent(worker, now):
                 self._copy_runs(worker, now)
-            self._book.speeds.detect_slowness(
-                worker, self._book.durations, now
+            self._cluster.speeds.detect_slowness(
+                worker, self._cluster.durations, now
             )
             if now < worker.slow_until:
                 self._stop_stragglers(worker, now)
@@ -149,7 +151,7 @@
 
     def _is_silent(self, worker: workers.WorkerState, now: float) -> bool:
         """Return whether a worker has not answered this owner recently."""
-        heard = max(worker.last_answer_at, self._book.owned_since)
+        heard = max(worker.last_answer_at, self._cluster.owned_since)
         return now - heard > self._limits.freshness
 
     def _copy_runs(self, worker: workers.WorkerState, now: float) -> None:
@@ -162,7 +164,7 @@
         # Each pool's members are listed once for all runs of the worker.
         views: dict[str, placement.PoolView] = {}
         for placed in list(worker.runs.values()):
-            queue = self._book.queues.get(placed.state.queue)
+            queue = self._cluster.queues.get(placed.state.queue)
             if queue is None or queue.admission is not None:
                 continue
             if not _may_copy(placed):
@@ -182,7 +184,7 @@
         worker = view.choose(step, task, placed.need, used, now=now)
         if worker is not None:
             number = state.take_run_number()
-            self._book.place(state, task, worker, number, now)
+            self._cluster.place(state, task, worker, number, now)
 
     def _stop_stragglers(
         self, worker: workers.WorkerState, now: float
@@ -193,7 +195,7 @@
             if run.stop_wanted or not speeds.is_comparable(placed):
                 continue
             rest = speeds.estimate_rest(run)
-            usual = self._book.speeds.estimate_typical(placed)
+            usual = self._cluster.speeds.estimate_typical(placed)
             if (
                 rest is None
                 or usual is None
@@ -203,7 +205,7 @@
             if not self._has_room_elsewhere(placed, now):
                 continue
             placed.task.avoid.add(worker.identity)
-            self._book.stop(
+            self._cluster.stop(
                 placed.state, placed.task, run, "its worker is slow"
             )
 
@@ -211,7 +213,7 @@
         self, placed: workers.PlacedRun, now: float
     ) -> bool:
         """Return whether another worker could take a run's task now."""
-        entry = self._book.workers[placed.run.worker].entry
+        entry = self._cluster.workers[placed.run.worker].entry
         if entry is None:
             return False
         return any(
@@ -241,7 +243,7 @@
             reason = "its worker leaves"
         else:
             return
-        self._book.stop(placed.state, placed.task, run, reason)
+        self._cluster.stop(placed.state, placed.task, run, reason)
 
     def _is_stalled(
         self,
@@ -270,7 +272,7 @@
             return False
         if waited > MAX_READY_WAIT_S:
             return True
-        return eviction.may_evict(self._book, placed, now)
+        return eviction.may_evict(self._cluster, placed, now)
 
     def _must_leave(
         self,
@@ -287,7 +289,7 @@
             return False
         # The worker still serves, but will end like a draining one.
         missing = now - worker.entry_missing_since > self._limits.entry_grace
-        return missing and eviction.may_evict(self._book, placed, now)
+        return missing and eviction.may_evict(self._cluster, placed, now)
 
     def list_members(self, pool: str, now: float) -> list[workers.WorkerState]:
         """Return the workers of a pool on which runs may be placed.
@@ -299,7 +301,7 @@
         """
         members = [
             worker
-            for worker in self._book.workers_by_pool.find(pool)
+            for worker in self._cluster.workers_by_pool.find(pool)
             if worker.takes_work(now, self._limits.freshness)
         ]
         quick = [worker for worker in members if now >= worker.slow_until]
@@ -356,7 +358,9 @@
     ) -> bool:
         """Return whether free resources alone decide a step's placement."""
         special = step.most_per_worker or step.labels or step.gang
-        return not special and self._book.queues[state.queue].admission is None
+        return (
+            not special and self._cluster.queues[state.queue].admission is None
+        )
 
     def _plan_step(
         self,
@@ -418,7 +422,7 @@
     def _urgency(
         self, state: progress.JobState, now: float
     ) -> tuple[float, ...]:
-        queue = self._book.queues[state.queue]
+        queue = self._cluster.queues[state.queue]
         grade = objectives.Grade.LASTING
         if state.job.steps[0].lasting:
             return (float(queue.priority), grade, state.arrived)
@@ -429,10 +433,10 @@
             first = next(iter(state.waiting)).repetition
             due = first * state.job.interval
             return (float(queue.priority), grade, state.arrived + due)
-        grade = objectives.grade(self._book, state, queue, now)
+        grade = objectives.grade(self._cluster, state, queue, now)
         if objectives.is_starved(state, now):
             grade = objectives.Grade.IN_TIME
-        objective = objectives.estimate_objective(self._book, state, queue)
+        objective = objectives.estimate_objective(self._cluster, state, queue)
         return (float(queue.priority), grade, state.arrived + objective)
 
 
--- a/src/rackvalve/scheduling/reports.py
+++ b/src/rackvalve/scheduling/reports.py
@@ -1,4 +1,4 @@
-"""Applies workers' reports to an owner's book."""
+"""Applies workers' reports to an owner's view of the cluster."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from rackvalve.jobs import definition
 from rackvalve.jobs import progress
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import crashes
 from rackvalve.scheduling import job_starts
 from rackvalve.scheduling import messages
@@ -47,9 +47,9 @@
 
 
 class Handler:
-    """Applies reports to a book.
+    """Applies reports to the owner's view of the cluster.
 
-    :param book: The book.
+    :param cluster: The owner's view of the cluster.
     :param lease: Length of a lease on a worker, in seconds.
     :param max_stop_time: Longest time that a stop takes, in seconds.
     :param hold_wait: Longest time that a worker waits before it answers a
@@ -58,7 +58,7 @@
     """
 
     __slots__ = (
-        "_book",
+        "_cluster",
         "_lease",
         "_max_stop_time",
         "_hold_wait",
@@ -69,14 +69,14 @@
 
     def __init__(
         self,
-        book: books.Book,
+        cluster: clusters.Cluster,
         *,
         lease: float,
         max_stop_time: float,
         hold_wait: float,
         hold_most: float,
     ) -> None:
-        self._book = book
+        self._cluster = cluster
         self._lease = lease
         self._max_stop_time = max_stop_time
         self._hold_wait = hold_wait
@@ -106,7 +106,7 @@
         # After a pause of this process the answer describes a time before it.
         worker.last_alive_at = min(now, report.sent + self._hold_wait)
         self.released += worker_restarts.supersede_earlier(
-            self._book, worker, report, now=now, wall=wall
+            self._cluster, worker, report, now=now, wall=wall
         )
         for row in report.ended:
             if row.number <= worker.handled:
@@ -120,9 +120,9 @@
             if listed is not None:
                 _update_run(placed, listed, report.sent, now)
                 if job_starts.note_run_seen(placed):
-                    self._book.note_begun(placed.state)
+                    self._cluster.note_begun(placed.state)
                 if crashes.clear_suspect(worker, placed, report.sent):
-                    self._book.mark_changed(placed.state)
+                    self._cluster.mark_changed(placed.state)
             elif len(report.ended) < MAX_ENDS_PER_REPORT:
                 self._release_unlisted(worker, placed, report.sent, now)
         for key in running:
@@ -162,7 +162,7 @@
             task.checkpoint = row.checkpoint
         step = state.step_of(task.name)
         if job_starts.note_run_ended(state, step, row.ending):
-            self._book.note_begun(state)
+            self._cluster.note_begun(state)
         if row.ending is messages.Ending.DONE:
             self._apply_success(
                 worker, state, task, placed, row.run, now, wall
@@ -173,7 +173,7 @@
             # Its run was released without a report of its end.
             task.unreported_runs.discard(row.run)
             task.failures += row.ending is messages.Ending.FAILED
-            self._book.mark_changed(state)
+            self._cluster.mark_changed(state)
             self._fail_if_exhausted(state, task, wall)
 
     def _apply_success(
@@ -187,25 +187,25 @@
         wall: float,
     ) -> None:
         step = state.step_of(task.name)
-        self._book.crash_history.crashing_jobs.clear(
-            state, self._book.open_jobs.values()
+        self._cluster.crash_history.crashing_jobs.clear(
+            state, self._cluster.open_jobs.values()
         )
         if placed is not None:
             self._note_success(worker, placed, now)
             task.done = True
-            self._book.release(placed, now)
+            self._cluster.release(placed, now)
         task.done = True
         if step.gang:
             self._finish_gang(state, task, number)
         state.waiting.pop(task.name, None)
-        self._book.mark_changed(state)
+        self._cluster.mark_changed(state)
         for run in list(task.runs.values()):
-            self._book.stop(state, task, run, "another run is done")
+            self._cluster.stop(state, task, run, "another run is done")
         if state.is_final:
             return
         state.open_steps(wall)
         state.finish_if_done(wall)
-        self._book.mark_changed(state)
+        self._cluster.mark_changed(state)
 
     def _finish_gang(
         self, state: progress.JobState, ended: progress.Task, number: int
@@ -224,7 +224,7 @@
             for run in list(task.runs.values()):
                 if run.number != number:
                     reason = "an earlier run is done"
-                    self._book.stop(state, task, run, reason)
+                    self._cluster.stop(state, task, run, reason)
 
     def _apply_unsuccessful_end(
         self,
@@ -239,7 +239,7 @@
         if ending is messages.Ending.FAILED:
             task.avoid.add(worker.identity)
             self._note_failure(worker, placed, now)
-        self._book.release(placed, now, delay=delay)
+        self._cluster.release(placed, now, delay=delay)
         if ending is messages.Ending.FAILED:
             self._fail_if_exhausted(state, task, wall)
 
@@ -247,13 +247,13 @@
         self, state: progress.JobState, task: progress.Task, wall: float
     ) -> None:
         """Fail a job one of whose tasks has used all its attempts."""
-        queue = self._book.queues.get(state.queue)
+        queue = self._cluster.queues.get(state.queue)
         limit = queue.attempts if queue is not None else 0
         is_lasting = state.step_of(task.name).lasting
         if is_lasting or task.done or state.is_final or not limit:
             return
         if task.failures >= limit:
-            self._book.finish_job(
+            self._cluster.finish_job(
                 state,
                 progress.Phase.FAILED,
                 wall,
@@ -271,14 +271,16 @@
         started = placed.run.confirmed_at
         if started is None or placed.run.inherited:
             return
-        self._book.speeds.record_duration(placed, now - started)
+        self._cluster.speeds.record_duration(placed, now - started)
         queue = placed.state.queue
-        mean = self._book.durations.get(queue)
+        mean = self._cluster.durations.get(queue)
         taken = now - started
         if mean is None:
-            self._book.durations[queue] = taken
+            self._cluster.durations[queue] = taken
             return
-        self._book.durations[queue] = mean + DURATION_WEIGHT * (taken - mean)
+        self._cluster.durations[queue] = mean + DURATION_WEIGHT * (
+            taken - mean
+        )
 
     def _note_failure(
         self,
@@ -322,7 +324,7 @@
                 counted=True,
             )
         )
-        self._book.release(placed, now)
+        self._cluster.release(placed, now)
 
     def _stop_unknown(
         self, worker: workers.WorkerState, key: workers.RunKey
@@ -335,8 +337,8 @@
             if job_starts.note_run_ended(
                 state, state.step_of(task.name), ending
             ):
-                self._book.note_begun(state)
-        self._book.orders.append(
+                self._cluster.note_begun(state)
+        self._cluster.orders.append(
             messages.StopRun(
                 worker=worker.identity,
                 task=key[0],
@@ -349,7 +351,7 @@
         self, full_name: str
     ) -> tuple[progress.JobState, progress.Task] | None:
         identity, _, rest = full_name.partition(".")
-        state = self._book.jobs.get(identity)
+        state = self._cluster.jobs.get(identity)
         name = definition.parse_task_name(rest)
         if state is None or name is None:
             return None
--- a/src/rackvalve/scheduling/sizing.py
+++ b/src/rackvalve/scheduling/sizing.py
@@ -11,8 +11,8 @@
 import dataclasses
 import math
 
-from rackvalve.scheduling import book as books
 from rackvalve.scheduling import closures
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import demand as demands
 from rackvalve.scheduling import failure_detector
 from rackvalve.scheduling import fleet
@@ -89,13 +89,13 @@
 class Sizer:
     """Decides the sizes of all pools.
 
-    :param book: The book.
+    :param cluster: The owner's view of the cluster.
     :param maintenance: The waves, whose VMs are not moved.
     :param detector: Detects silent workers and halls.
     """
 
     __slots__ = (
-        "_book",
+        "_cluster",
         "_maintenance",
         "_detector",
         "pools",
@@ -105,11 +105,11 @@
 
     def __init__(
         self,
-        book: books.Book,
+        cluster: clusters.Cluster,
         maintenance: maintenances.MaintenancePlanner,
         detector: failure_detector.FailureDetector,
     ) -> None:
-        self._book = book
+        self._cluster = cluster
         self._maintenance = maintenance
         self._detector = detector
         self.pools: dict[str, PoolSize] = {}
@@ -198,7 +198,7 @@
         return MoveVm(vm=vm, pool=pool)
 
     def _find_spare_pool(self) -> str | None:
-        for name, pool in self._book.configuration.pools.items():
+        for name, pool in self._cluster.configuration.pools.items():
             if pool.spare:
                 return name
         return None
@@ -213,9 +213,9 @@
 
     def _update_sizes(self, now: float) -> None:
         """Update the present and the wanted size of each pool."""
-        measured = demands.measure(self._book, now)
-        spreads = maintenances.measure_spreads(self._book)
-        for name, pool in self._book.configuration.pools.items():
+        measured = demands.measure(self._cluster, now)
+        spreads = maintenances.measure_spreads(self._cluster)
+        for name, pool in self._cluster.configuration.pools.items():
             if pool.spare:
                 self.pools.pop(name, None)
                 continue
@@ -227,7 +227,9 @@
                 size.rotating = self._maintenance.count_rotating(name, now)
             size.have = self._count_serving(name, size)
             size.wanted = _count_wanted(size, now)
-        for name in self.pools.keys() - self._book.configuration.pools.keys():
+        for name in (
+            self.pools.keys() - self._cluster.configuration.pools.keys()
+        ):
             del self.pools[name]
 
     def _count_serving(self, name: str, size: PoolSize) -> int:
@@ -253,9 +255,9 @@
 
         A VM that is out of reach may stay so for long, so it is replaced.
         """
-        if vm.lost or vm.hall in self._book.evacuated:
+        if vm.lost or vm.hall in self._cluster.evacuated:
             return False
-        worker = self._book.find_current(vm.worker)
+        worker = self._cluster.find_current(vm.worker)
         if worker is None or worker.entry is None:
             return not vm.up
         if worker.identity in self._detector.silent_workers:
@@ -300,7 +302,7 @@
             and vm.identity not in leaving
             and vm.identity not in self._maintenance.held
             and vm.hall not in self._detector.silent_halls
-            and vm.hall not in self._book.evacuated
+            and vm.hall not in self._cluster.evacuated
         ]
         found.sort(key=lambda vm: vm in later)
         return found
@@ -331,7 +333,7 @@
         later = self._maintenance.list_pending()
         ranked: list[tuple[tuple[int, int, int], str]] = []
         for vm in self._maintenance.vms.values():
-            worker = self._book.find_current(vm.worker)
+            worker = self._cluster.find_current(vm.worker)
             if vm.pool != name or not vm.up or vm.identity in away:
                 continue
             if worker is None or worker.entry is None:
@@ -339,7 +341,7 @@
             if worker.identity in self._detector.silent_workers:
                 continue
             # The VM was not counted, and serves again once its hall does.
-            if vm.hall in self._book.evacuated:
+            if vm.hall in self._cluster.evacuated:
                 continue
             if now - self.arrived.get(vm.identity, float("-inf")) < MIN_STAY_S:
                 continue
--- a/src/rackvalve/scheduling/stalls.py
+++ b/src/rackvalve/scheduling/stalls.py
@@ -17,7 +17,7 @@
 from rackvalve.jobs import definition
 from rackvalve.jobs import progress
 from rackvalve.scheduling import blockers
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import planner as planners
 from rackvalve.scheduling import workers
 
@@ -134,14 +134,14 @@
 class StallDetector:
     """Scans an owner's open jobs for stalled ones.
 
-    :param book: The book.
+    :param cluster: The owner's view of the cluster.
     :param planner: Its planner.
     :param freshness: Longest age of a worker's last answer for its runs to
         count as active, in seconds.
     """
 
     __slots__ = (
-        "_book",
+        "_cluster",
         "_planner",
         "_freshness",
         "_scanned_at",
@@ -152,9 +152,12 @@
     )
 
     def __init__(
-        self, book: books.Book, planner: planners.Planner, freshness: float
+        self,
+        cluster: clusters.Cluster,
+        planner: planners.Planner,
+        freshness: float,
     ) -> None:
-        self._book = book
+        self._cluster = cluster
         self._planner = planner
         self._freshness = freshness
         # Time of the last scan, in seconds.
@@ -183,7 +186,7 @@
         :param now: Present time, in seconds.
         """
         finder = blockers.BlockerFinder(
-            self._book, self._planner, now, self._freshness
+            self._cluster, self._planner, now, self._freshness
         )
         stalled = self._find_stalled(finder, now)
         by_pool: dict[str, list[StalledJob]] = {}
@@ -210,7 +213,7 @@
         since: dict[str, float] = {}
         found: list[StalledJob] = []
         self._unjudged = 0
-        for state in self._book.open_jobs.values():
+        for state in self._cluster.open_jobs.values():
             if now - state.arrived < STALL_AFTER_S:
                 continue
             if len(since) >= MAX_CHECKED_JOBS:
@@ -236,7 +239,7 @@
         """Return the jobs with an active run, and all other runs by job."""
         active: set[str] = set()
         idle: dict[str, list[workers.PlacedRun]] = {}
-        for worker in self._book.workers.values():
+        for worker in self._cluster.workers.values():
             for placed in worker.runs.values():
                 if finder.is_active(placed):
                     active.add(placed.state.identity)
@@ -274,7 +277,7 @@
     def _count_overtaking(self, job: StalledJob) -> int:
         return sum(
             1
-            for state in self._book.jobs.values()
+            for state in self._cluster.jobs.values()
             if state.queue == job.queue
             and state.next_run > 1
             and state.accepted > job.accepted
@@ -298,7 +301,7 @@
         self._reported = {
             name: causes
             for name, causes in self._reported.items()
-            if name.partition(".")[0] in self._book.open_jobs
+            if name.partition(".")[0] in self._cluster.open_jobs
         }
 
 
--- a/src/rackvalve/scheduling/starter.py
+++ b/src/rackvalve/scheduling/starter.py
@@ -6,21 +6,21 @@
 
 from rackvalve.jobs import definition
 from rackvalve.jobs import progress
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import workers
 
 
 class Starter:
-    """Places the planner's and the isolator's runs in a book.
+    """Places the planner's and the isolator's runs on workers.
 
-    :param book: The book.
+    :param cluster: The owner's view of the cluster.
     """
 
-    __slots__ = ("_book", "tickets")
+    __slots__ = ("_cluster", "tickets")
 
-    def __init__(self, book: books.Book) -> None:
-        self._book = book
+    def __init__(self, cluster: clusters.Cluster) -> None:
+        self._cluster = cluster
         # Admitted workers by step, for queues with an admission service.
         self.tickets: dict[str, dict[str, str]] = {}
 
@@ -33,9 +33,9 @@
         :param step: The tasks' step.
         :param asked: How many are to start.
         """
-        workspace = self._book.find_workspace(state)
+        workspace = self._cluster.find_workspace(state)
         charge = fleet.get_charge(step)
-        return self._book.usage.count_allowed(workspace, charge, asked)
+        return self._cluster.usage.count_allowed(workspace, charge, asked)
 
     def find_tickets(
         self, state: progress.JobState, repetition: int, number: int
@@ -46,7 +46,7 @@
         :param repetition: Number of the repetition.
         :param number: Number of the step.
         """
-        if self._book.queues[state.queue].admission is None:
+        if self._cluster.queues[state.queue].admission is None:
             return None
         return self.tickets.get(state.step_name(repetition, number), {})
 
@@ -68,7 +68,7 @@
         """
         name = task.name
         tickets = self.find_tickets(state, name.repetition, name.step)
-        run = self._book.place(state, task, worker, number, now)
+        run = self._cluster.place(state, task, worker, number, now)
         if tickets is not None:
             run.ticket = tickets[worker.identity]
 
--- a/src/rackvalve/scheduling/worker_restarts.py
+++ b/src/rackvalve/scheduling/worker_restarts.py
@@ -10,7 +10,7 @@
 from __future__ import annotations
 
 from rackvalve.jobs import incarnations
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import endings
 from rackvalve.scheduling import messages
 from rackvalve.scheduling import releases
@@ -23,13 +23,16 @@
 
 
 def note_replaced(
-    book: books.Book, earlier: workers.WorkerState, born: int, now: float
+    cluster: clusters.Cluster,
+    earlier: workers.WorkerState,
+    born: int,
+    now: float,
 ) -> workers.WorkerState | None:
     """Record that another incarnation answers in place of an earlier one.
 
     The runs of the earlier incarnation stay until the later one has reported.
 
-    :param book: The book of workers and runs.
+    :param cluster: The owner's view of the cluster.
     :param earlier: The earlier incarnation.
     :param born: When the later one started, in milliseconds since 1970.
     :param now: Present time, in seconds.
@@ -41,7 +44,7 @@
     incarnation = incarnations.Incarnation(
         worker=earlier.incarnation.worker, born=born
     )
-    later = book.add_incarnation(incarnation.identity)
+    later = cluster.add_incarnation(incarnation.identity)
     later.location = later.location or earlier.location
     later.note_extension(now, UNREPORTED_LEASE_S)
     entry = earlier.entry
@@ -50,12 +53,12 @@
         and incarnations.parse_incarnation(entry.identity).born is None
     ):
         # An entry without a start time belongs to the present incarnation.
-        book.set_entry(entry)
+        cluster.set_entry(entry)
     return later
 
 
 def supersede_earlier(
-    book: books.Book,
+    cluster: clusters.Cluster,
     worker: workers.WorkerState,
     report: messages.Report,
     *,
@@ -64,7 +67,7 @@
 ) -> list[releases.Release]:
     """Settle the runs of earlier incarnations by the report of a later one.
 
-    :param book: The book of workers and runs.
+    :param cluster: The owner's view of the cluster.
     :param worker: The incarnation that has reported.
     :param report: Its report, with all its runs.
     :param now: Present time, in seconds.
@@ -72,10 +75,10 @@
     :return: The runs that ended with each earlier incarnation.
     """
     released = []
-    for earlier in _list_earlier(book, worker):
-        _move_runs(book, earlier, worker, report)
+    for earlier in _list_earlier(cluster, worker):
+        _move_runs(cluster, earlier, worker, report)
         release = endings.end_incarnation(
-            book, earlier.identity, releases.RESTARTED, now=now, wall=wall
+            cluster, earlier.identity, releases.RESTARTED, now=now, wall=wall
         )
         if release is not None:
             released.append(release)
@@ -83,7 +86,7 @@
 
 
 def _list_earlier(
-    book: books.Book, worker: workers.WorkerState
+    cluster: clusters.Cluster, worker: workers.WorkerState
 ) -> list[workers.WorkerState]:
     """Return the earlier incarnations of a worker.
 
@@ -91,7 +94,7 @@
     """
     return [
         other
-        for other in book.workers_by_name.find(worker.incarnation.worker)
+        for other in cluster.workers_by_name.find(worker.incarnation.worker)
         if other is not worker
         and (
             other.replaced
@@ -103,7 +106,7 @@
 
 
 def _move_runs(
-    book: books.Book,
+    cluster: clusters.Cluster,
     earlier: workers.WorkerState,
     later: workers.WorkerState,
     report: messages.Report,
@@ -117,4 +120,4 @@
     is_start_unknown = earlier.incarnation.born is None
     for key, placed in list(earlier.runs.items()):
         if key in reported or (is_start_unknown and placed.run.inherited):
-            book.move_run(placed, later)
+            cluster.move_run(placed, later)
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -16,7 +16,7 @@
 from rackvalve.jobs import definition
 from rackvalve.jobs import progress
 from rackvalve.manager import timing
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import endings
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import maintenance as maintenances
@@ -70,27 +70,29 @@
         self._times: dict[str, loads.Arrival] = {}
         self.result = plans.Result(jobs=[], lasting=[])
         pools = [kind.queue for kind in plan.kinds]
-        self.book = books.Book(
+        self.cluster = clusters.Cluster(
             _make_configuration(pools), inherited_lease=0.0, now=0.0
         )
         self.handler = reports.Handler(
-            self.book,
+            self.cluster,
             lease=timing.WORKER_LEASE_S,
             max_stop_time=0.0,
             hold_wait=timing.HOLD_WAIT_S,
             hold_most=timing.MAX_HOLD_S,
         )
-        self.book.speeds = policy.speeds()
+        self.cluster.speeds = policy.speeds()
         self.planner = policy.planner(
-            self.book,
+            self.cluster,
             planners.Limits(
                 freshness=timing.FRESHNESS_S,
                 entry_grace=timing.ENTRY_GRACE_S,
             ),
         )
-        self.maintenance = maintenances.MaintenancePlanner(self.book)
-        self.silence = policy.silence(self.book, self.maintenance)
-        self.sizing = sizings.Sizer(self.book, self.maintenance, self.silence)
+        self.maintenance = maintenances.MaintenancePlanner(self.cluster)
+        self.silence = policy.silence(self.cluster, self.maintenance)
+        self.sizing = sizings.Sizer(
+            self.cluster, self.maintenance, self.silence
+        )
         self.vms = {
             f"m{n}": vms.Vm(
                 f"m{n}",
@@ -172,7 +174,7 @@
 
     def _add(self, name: str, queue: str, job: definition.Job) -> None:
         state = progress.JobState(name, queue, job, self.now)
-        self.book.add_job(state, self.now, self.now)
+        self.cluster.add_job(state, self.now, self.now)
         self._wake()
 
     # -- the owner ---------------------------------------------------------
@@ -193,15 +195,15 @@
         self._take_changes()
 
     def _take_changes(self) -> None:
-        changed, self.book.changed = self.book.changed, {}
+        changed, self.cluster.changed = self.cluster.changed, {}
         for name in changed:
-            state = self.book.jobs.get(name)
+            state = self.cluster.jobs.get(name)
             if state is None:
                 continue
             served = self._jobs.get(name)
             if served is not None and state.is_final:
                 served.ended = self.now
-                del self.book.jobs[name]
+                del self.cluster.jobs[name]
                 continue
             planned = state.list_planned()
             if planned:
@@ -212,12 +214,12 @@
     def _record(
         self, name: str, planned: list[tuple[definition.TaskName, int]]
     ) -> None:
-        self.book.order_recorded(name, planned, self.now)
+        self.cluster.order_recorded(name, planned, self.now)
         self._send()
 
     def _send(self) -> None:
-        while self.book.orders:
-            order = self.book.orders.popleft()
+        while self.cluster.orders:
+            order = self.cluster.orders.popleft()
             vm = self._by_worker.get(order.worker)
             if vm is None or self._is_silent(vm):
                 continue
@@ -238,11 +240,11 @@
         self.at(self.now + timing.CHECK_INTERVAL_S, self._check)
 
     def _forget_gone(self, now: float) -> None:
-        for name, worker in list(self.book.workers.items()):
+        for name, worker in list(self.cluster.workers.items()):
             is_gone = name not in self._by_worker and worker.is_expired(now)
             if is_gone and now - worker.last_alive_at > timing.ENTRY_GRACE_S:
                 endings.end_incarnation(
-                    self.book, name, "gone", now=now, wall=now
+                    self.cluster, name, "gone", now=now, wall=now
                 )
 
     def _care(self) -> None:
@@ -269,7 +271,7 @@
         surplus = self.sizing.list_leaving()
         later = self.maintenance.list_pending()
         departing = self.sizing.departing()
-        for worker in self.book.workers.values():
+        for worker in self.cluster.workers.values():
             vm = worker.entry.vm if worker.entry is not None else ""
             worker.close_reason = ""
             if vm in waves:
@@ -296,7 +298,7 @@
     def _appear(self, vm: vms.Vm) -> None:
         worker = vm.begin_life()
         self._by_worker[worker.identity] = vm
-        self.book.set_entry(vm.entry(self.plan.fleet.capacity))
+        self.cluster.set_entry(vm.entry(self.plan.fleet.capacity))
         if not self.is_cut(vm):
             self._report(vm)
 
@@ -307,7 +309,7 @@
         """
         if vm.worker is not None:
             del self._by_worker[vm.worker.identity]
-            self.book.remove_entry(vm.worker.identity, self.now)
+            self.cluster.remove_entry(vm.worker.identity, self.now)
             vm.worker = None
 
     def revive(self, vm: vms.Vm) -> None:
@@ -360,7 +362,7 @@
         assert worker is not None
         worker.reported = self.now
         worker.lease = self.now + timing.WORKER_LEASE_S
-        known = self.book.workers[worker.identity]
+        known = self.cluster.workers[worker.identity]
         known.note_extension(self.now, timing.WORKER_LEASE_S)
         ended, worker.ended = worker.ended, []
         self.handler.apply(
@@ -396,10 +398,10 @@
         vm.worker.runs[full, order.run] = run
         if arrival is not None:
             self.at(ends, functools.partial(self._end, vm, vm.worker, run))
-        known = self.book.workers[vm.worker.identity]
+        known = self.cluster.workers[vm.worker.identity]
         placed = known.runs.get((full, order.run))
         if placed is not None:
-            self.book.apply_start_result(
+            self.cluster.apply_start_result(
                 placed,
                 messages.StartResult.STARTED,
                 uncertain=False,
--- a/tools/experiments/shares.py
+++ b/tools/experiments/shares.py
@@ -8,7 +8,7 @@
 from rackvalve.jobs import definition
 from rackvalve.jobs import progress
 from rackvalve.manager import timing
-from rackvalve.scheduling import book as books
+from rackvalve.scheduling import cluster as clusters
 from rackvalve.scheduling import fleet
 from rackvalve.scheduling import planner as planners
 from rackvalve.scheduling import queues
@@ -78,12 +78,12 @@
         version=1, queues=(QUEUE,), pools={}, body_limit=1
     )
     configuration = dataclasses.replace(configuration, workspaces=workspaces)
-    book = books.Book(configuration, inherited_lease=0.0, now=NOW)
-    worker = book.set_entry(_make_entry())
+    cluster = clusters.Cluster(configuration, inherited_lease=0.0, now=NOW)
+    worker = cluster.set_entry(_make_entry())
     worker.established = True
     worker.last_alive_at = NOW
     planner = planners.Planner(
-        book,
+        cluster,
         planners.Limits(
             freshness=timing.FRESHNESS_S, entry_grace=timing.ENTRY_GRACE_S
         ),
@@ -98,7 +98,7 @@
             NOW,
             workspace=f"w{number % count}",
         )
-        book.add_job(state, NOW, NOW)
+        cluster.add_job(state, NOW, NOW)
     planner.plan(NOW, NOW)
     taken = time.perf_counter() - began
     return figures.Figure(
