--- a/src/rackvalve/entry/dispatcher.py
+++ b/src/rackvalve/entry/dispatcher.py
@@ -54,7 +54,7 @@
         self._notify = notify
 
     def _collect(self, pool: str, now: float) -> None:
-        for decision in self._admission.collect(pool, now):
+        for decision in self._admission.dispatch(pool, now):
             self._deliver(decision)
 
     def _deliver(self, decision: decisions.Started | decisions.Ended) -> None:
@@ -111,7 +111,7 @@
     message: messages.AttemptSilent, task: Dispatcher
 ) -> None:
     pool = task._admission.pools[message.started.job.pool]
-    pool.report_silence(message.started.attempt, task._clock())
+    pool.count_unanswered(message.started.attempt, task._clock())
 
 
 @handle.register
@@ -156,7 +156,7 @@
 def _on_probe_ended(message: messages.ProbeEnded, task: Dispatcher) -> None:
     now = task._clock()
     pool = task._admission.pools[message.pool]
-    pool.board.conclude_probe(message.vm, message.healthy, now)
+    pool.group.conclude_probe(message.vm, message.healthy, now)
     task._collect(message.pool, now)
 
 
@@ -165,7 +165,7 @@
     now = task._clock()
     for name, pool in task._admission.pools.items():
         task._collect(name, now)
-        for target in pool.board.list_due(now):
+        for target in pool.group.pop_due(now):
             allotment = target.allotment
             task._probe(name, target.vm, allotment.host, allotment.port)
 
--- a/tools/baselines/fifo.py
+++ b/tools/baselines/fifo.py
@@ -5,14 +5,14 @@
 import collections
 
 from rackvalve.requests import decisions
-from rackvalve.targets import board as boards
+from rackvalve.targets import group as groups
 
 
 class FifoScheduler:
     """Has the interface of the pool scheduler that tests use."""
 
-    def __init__(self, board, policy):
-        self.board = board
+    def __init__(self, group, policy):
+        self.group = group
         self._queue = collections.OrderedDict()
         self._runs = {}
         self._attempts = 0
@@ -33,7 +33,7 @@
     def submit(self, job, now):
         """Queue a job, and start what fits."""
         self._queue[job.number] = job
-        started = self.collect(now)
+        started = self.dispatch(now)
         for decision in started:
             if decision.job.number == job.number:
                 return decision
@@ -42,17 +42,17 @@
     def finish(self, attempt, result, now):
         """Free a slot."""
         vm = self._runs.pop(attempt)
-        self.board.release(vm, result, None, now)
+        self.group.release(vm, result, None, now)
 
     def cancel(self, job):
         """Take out a waiting job."""
         return self._queue.pop(job.number, None) is not None
 
-    def collect(self, now):
+    def dispatch(self, now):
         """Start the oldest jobs while a slot is free."""
         started = []
         while self._queue:
-            choice = self.board.choose(frozenset())
+            choice = self.group.choose(frozenset())
             if choice is None:
                 break
             _, job = self._queue.popitem(last=False)
@@ -73,7 +73,7 @@
         return started
 
 
-class ScanBoard(boards.Board):
+class ScanGroup(groups.TargetGroup):
     """Chooses a target by looking at all of them."""
 
     def choose(self, excluded):
@@ -86,9 +86,9 @@
         if not free:
             return None
         best = min(free, key=lambda target: target.load)
-        choice = boards.Choice(
+        choice = groups.Choice(
             best, load=best.load, other=None, open_targets=len(free)
         )
         best.in_use += 1
-        self._place(best)
+        self._update_open(best)
         return choice
