--- a/src/rackvalve/fleet/__init__.py
+++ b/src/rackvalve/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet of one data hall: its VMs, entries, and their transitions."""
+"""Record of one data hall: its VMs, entries and waves, and their changes."""
--- a/src/rackvalve/fleet/buffers.py
+++ b/src/rackvalve/fleet/buffers.py
@@ -1,8 +1,8 @@
-"""How many VMs a pool must hold idle, and why.
+"""Sizing of a pool's buffer: the VMs that it must hold idle.
 
-The buffer is what a pool needs beyond its budget so that failures and
-maintenance do not take it below: the failures that come while a VM is
-replaced, the loss of its fullest rack, and the VMs that a wave takes out
+The buffer is the capacity beyond the budget that keeps a pool at its budget
+through failures and maintenance.  It covers failures that occur while a VM
+is replaced, the loss of the fullest rack, and the VMs that a wave takes out
 so that each VM is maintained in time.
 """
 
@@ -18,15 +18,15 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Demand:
-    """What a pool has to survive.
-
-    :param vms: Its VMs.
-    :param rack_vms: Most of them in one rack; 0 if racks need not be
-        survived.
-    :param failures_per_day: VMs of the pool that fail a day.
-    :param replace_hours: Time until a failed VM is replaced.
-    :param wave_days: Time in which each VM must be maintained once.
-    :param away_hours: Time that one VM is away for maintenance.
+    """Failures and maintenance that a pool must withstand.
+
+    :param vms: Number of VMs in the pool.
+    :param rack_vms: Most VMs of the pool in one rack; 0 if the pool need
+        not survive the loss of a rack.
+    :param failures_per_day: VMs of the pool that fail per day.
+    :param replace_hours: Hours until a failed VM is replaced.
+    :param wave_days: Days in which each VM must be maintained once.
+    :param away_hours: Hours that one VM is away for maintenance.
     :param risk: Accepted probability that failures exceed the buffer.
     """
 
@@ -54,10 +54,10 @@
 def size_buffer(demand: Demand) -> Buffer:
     """Return the buffer that a pool needs.
 
-    A wave stops while a rack is lost, so that only the greater of the two
-    counts; single failures come on top of either.
+    A wave stops while a rack is lost, so only the greater of the two
+    counts; single failures are added to it.
 
-    :param demand: What the pool has to survive.
+    :param demand: Failures and maintenance of the pool.
     """
     parts = {
         FAILURES: count_failures(demand),
@@ -71,19 +71,19 @@
 def count_away(demand: Demand) -> int:
     """Return how many VMs must be away at once to maintain all in time.
 
-    :param demand: What the pool has to survive.
+    :param demand: Failures and maintenance of the pool.
     """
     slots = demand.wave_days * 24.0 / demand.away_hours
     return math.ceil(demand.vms / slots)
 
 
 def count_failures(demand: Demand) -> int:
-    """Return how many VMs are down at once, but for the accepted risk.
+    """Return the VMs down at once, exceeded only with the accepted risk.
 
-    Failures are taken as independent (a Poisson distribution of those
-    that come while one is replaced); racks are counted apart.
+    Failures are assumed to be independent: their number during one
+    replacement has a Poisson distribution.  Racks are counted separately.
 
-    :param demand: What the pool has to survive.
+    :param demand: Failures and maintenance of the pool.
     """
     mean = demand.failures_per_day * demand.replace_hours / 24.0
     term = math.exp(-mean)
--- a/src/rackvalve/fleet/record.py
+++ b/src/rackvalve/fleet/record.py
@@ -1,8 +1,8 @@
-"""The record of one data hall, as kept by the platform.
+"""The record of one data hall, as stored by the platform.
 
-One record holds all that a budget decision of the hall needs, so that a
-decision is one compare-and-swap.  A target has one entry in it and that
-names one pool, hence each VM belongs to one pool at any moment.
+One record holds all data of the hall that a budget decision needs, so that a
+decision is one compare-and-swap.  Each target appears once and names one
+pool, hence a VM belongs to exactly one pool at any time.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 class State(enum.Enum):
     """State of a target in its hall.
 
-    ``serving`` takes work.  ``revoking`` takes none, and its senders have
-    yet to acknowledge.  ``away`` is acknowledged by all of them; it may be
-    rebooted or moved.
+    A ``serving`` target takes work.  A ``revoking`` target takes none, but
+    some senders have yet to acknowledge that.  An ``away`` target has the
+    acknowledgement of all senders and may be rebooted or moved.
     """
 
     SERVING = "serving"
@@ -35,13 +35,13 @@
 class Target:
     """One VM that runs a pool's jobs.
 
-    :param pool: The pool that it belongs to.
-    :param host: IP number.
+    :param pool: Pool of the target.
+    :param host: IP address.
     :param port: Port.
-    :param slots: Jobs that it runs at once.
-    :param rack: Rack that it stands in.
-    :param state: Its state.
-    :param move_to: Pool it joins once it is away, or ``None``.
+    :param slots: Most jobs that run on the target at once.
+    :param rack: Rack of the VM.
+    :param state: State of the target.
+    :param move_to: Pool that the target joins once it is away, or ``None``.
     """
 
     pool: str
@@ -55,9 +55,9 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Epoch:
-    """The entries that divide the hall's rights, from a time on.
+    """The entries that share the rights to a hall's targets, from a time on.
 
-    :param since: Time of the acting steward's clock, in seconds.
+    :param since: Start, by the acting steward's clock, in seconds.
     :param entries: Identities of the entry VMs, sorted.
     """
 
@@ -67,11 +67,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Division:
-    """Which entries divide a hall's rights.
+    """Which entries share the rights to a hall's targets.
 
-    :param epochs: Past and present divisions, oldest first.
-    :param next_entries: The division that takes the place of the present
-        one once its holders have acknowledged; ``None`` for no change.
+    :param epochs: Past and present epochs, oldest first.
+    :param next_entries: Entries of the next epoch, which begins once the
+        present holders have acknowledged it; ``None`` for no change.
     :param addresses: Address (``IP:PORT``) of each entry for other
         processes of the system, by VM identity.
     """
@@ -82,7 +82,7 @@
 
     @property
     def entries(self) -> list[str]:
-        """The entries that divide the hall's rights at present."""
+        """The entries of the present epoch."""
         return self.epochs[-1].entries if self.epochs else []
 
 
@@ -100,10 +100,10 @@
     """A maintenance wave over VMs of the hall.
 
     :param pending: VMs that have yet to leave, sorted.
-    :param active: VMs that leave, are away, or have not come back.
-    :param done: VMs that serve again.
-    :param phase: Its phase.
-    :param started: Time of the order, in seconds.
+    :param active: VMs that are leaving, are away or have yet to come back.
+    :param done: VMs that serve again after maintenance.
+    :param phase: Phase of the wave.
+    :param started: Time at which the wave was ordered, in seconds.
     """
 
     pending: list[str]
@@ -119,7 +119,7 @@
 
     :param targets: Targets by VM identity.
     :param waves: Maintenance waves by name.
-    :param division: The entries that divide the rights on them.
+    :param division: Entries that share the rights to the targets.
     :param operation: Identifier of the write that stored this record.
     """
 
@@ -131,18 +131,22 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Report:
-    """What an entry says of itself; it acknowledges revocations.
+    """Status report of an entry, which also acknowledges revocations.
 
     :param vm: Identity of the entry's VM.
     :param incarnation: Identifier of the process, new at each start.
     :param address: Address of the entry for other processes (``IP:PORT``).
-    :param configuration_revision: Configuration in force; 0 for none.
-    :param hall_revision: Hall record in force; 0 for none.
-    :param busy: Targets on which it has work but no right to new work.
-    :param excess: Targets on which it holds more slots than its share.
-    :param unhealthy: Targets that it gives no work because of failures.
-    :param leaving: Whether it takes no more requests.
-    :param round: Name of the newest round that the entry has heard of.
+    :param configuration_revision: Revision of the configuration in force;
+        0 for none.
+    :param hall_revision: Revision of the hall's record in force; 0 for
+        none.
+    :param busy: Targets on which the entry has work in flight but no right
+        to start more.
+    :param excess: Targets on which the entry uses more slots than its share.
+    :param unhealthy: Targets that the entry sends no work because of
+        failures.
+    :param leaving: Whether the entry takes no more requests.
+    :param round: Name of the newest confirmation round that the entry knows.
     """
 
     vm: str
@@ -163,7 +167,7 @@
 
 
 def get_key(hall: str) -> str:
-    """Return the platform's key of a hall's record.
+    """Return the key under which the platform stores a hall's record.
 
     :param hall: Name of the hall.
     """
@@ -171,7 +175,7 @@
 
 
 def get_division_name(hall: str) -> str:
-    """Return the name under which a hall's division is passed around.
+    """Return the name under which peers exchange a hall's division.
 
     :param hall: Name of the hall.
     """
@@ -183,7 +187,7 @@
 
     :param payload: JSON.
     :return: The record.
-    :raises DocumentInvalidError: The payload has not the right shape.
+    :raises DocumentInvalidError: The payload does not match the schema.
     """
     return codec.decode(_DECODER, payload)
 
@@ -193,7 +197,7 @@
 
     :param payload: JSON.
     :return: The division.
-    :raises DocumentInvalidError: The payload has not the right shape.
+    :raises DocumentInvalidError: The payload does not match the schema.
     """
     return codec.decode(_DIVISION_DECODER, payload)
 
@@ -203,6 +207,6 @@
 
     :param payload: JSON.
     :return: The report.
-    :raises DocumentInvalidError: The payload has not the right shape.
+    :raises DocumentInvalidError: The payload does not match the schema.
     """
     return codec.decode(_REPORT_DECODER, payload)
--- a/src/rackvalve/fleet/shares.py
+++ b/src/rackvalve/fleet/shares.py
@@ -1,9 +1,9 @@
 """Division of a target's slots, and of idempotency keys, among entries.
 
-During a change of the division, an entry holds the lesser of its share
-before and after: the sum never exceeds the slots, whoever has heard of the
-change, as long as the new division comes into force only after all old
-holders have acknowledged (:mod:`rackvalve.fleet.transitions`).
+During a change of the division, an entry uses the lesser of its shares
+before and after.  The sum then never exceeds the slots, whichever entries
+know of the change, because the new division takes effect only after all old
+holders have acknowledged it (:mod:`rackvalve.fleet.transitions`).
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 def rank_entries(name: str, entries: list[str]) -> list[str]:
     """Order entries by rendezvous hash.
 
-    :param name: What is to be owned or divided.
+    :param name: Name of the key, target or quota.
     :param entries: Identities of the entries.
-    :return: The entries, the first owner first.
+    :return: The entries, the highest-ranked first.
     """
     return sorted(
         entries,
@@ -34,11 +34,11 @@
 def divide(name: str, slots: int, entries: list[str], entry: str) -> int:
     """Return an entry's share of slots in one division.
 
-    :param name: What is divided: a target, or a quota.
-    :param slots: Its slots.
-    :param entries: The entries that divide them.
-    :param entry: The entry asked about.
-    :return: Slots; the shares of all entries sum up to ``slots``.
+    :param name: Name of the target or quota.
+    :param slots: Slots of the target or quota.
+    :param entries: Entries of the division.
+    :param entry: The entry.
+    :return: Number of slots; all shares add up to ``slots``.
     """
     if entry not in entries:
         return 0
@@ -52,10 +52,10 @@
 ) -> int:
     """Return the slots that an entry may use now.
 
-    :param division: The entries that divide them.
-    :param name: What is divided: a target, or a quota.
-    :param slots: Its slots.
-    :param entry: The entry asked about.
+    :param division: Present and next entries.
+    :param name: Name of the target or quota.
+    :param slots: Slots of the target or quota.
+    :param entry: The entry.
     """
     share = divide(name, slots, division.entries, entry)
     if division.next_entries is None:
@@ -66,7 +66,7 @@
 def find_owner(key: str, entries: list[str]) -> str | None:
     """Return the entry that owns an idempotency key in one division.
 
-    :param key: The key.
+    :param key: The idempotency key.
     :param entries: The entries of the division.
     """
     return rank_entries(key, entries)[0] if entries else None
