--- a/src/rackvalve/fleet/transitions.py
+++ b/src/rackvalve/fleet/transitions.py
@@ -1,8 +1,8 @@
-"""Transitions of a hall's record: pure functions that return outcomes.
+"""Transitions of a hall's record, as pure functions that return outcomes.
 
-The rule of every transition: a right is revoked before it is established
-elsewhere, and it is revoked only by its holder's acknowledgement or by
-proof that the holder is gone, never by time alone.
+Every transition revokes a right before it grants the right elsewhere.  A
+right counts as revoked only once its holder has acknowledged that or is
+proved gone, never by time alone.
 """
 
 from __future__ import annotations
@@ -12,7 +12,8 @@
 
 from rackvalve.fleet import record
 
-# A key older than the oldest division kept is refused by its owner.
+# Epochs retained.  The owner of an idempotency key refuses a key that is
+# older than the oldest of them.
 EPOCHS_KEPT = 8
 
 if TYPE_CHECKING:
@@ -22,10 +23,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Changed:
-    """The record that the transition leads to.
+    """The transition changes the record.
 
     :param hall: The new record.
-    :param note: What changed, for logs.
+    :param note: Description of the change, for logs.
     """
 
     hall: record.Hall
@@ -34,7 +35,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Waiting:
-    """The transition has to wait.
+    """The transition waits for acknowledgements.
 
     :param subject: The VM whose transition waits.
     :param holders: Entries whose acknowledgement is missing.
@@ -46,9 +47,9 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Rejected:
-    """The command is not possible on this record.
+    """The command cannot be applied to this record.
 
-    :param reason: Why, with the name at fault.
+    :param reason: Cause, with the name of the VM, pool or wave.
     """
 
     reason: str
@@ -64,7 +65,7 @@
 
     :param hall: Record of the hall.
     :param vm: The target.
-    :param budget: Least number of available VMs of its pool in this hall.
+    :param budget: Minimum available VMs of the target's pool in this hall.
     :param unavailable: Targets that do not serve now, though their state
         is ``serving``.
     """
@@ -95,13 +96,13 @@
 ) -> Changed | Rejected:
     """Order a target to join another pool, within the budget of its own.
 
-    It belongs to its old pool until every sender has acknowledged, and to
-    the new one from then on, in one write.
+    The target belongs to its old pool until every sender has acknowledged;
+    one write then moves it to the new pool.
 
     :param hall: Record of the hall.
     :param vm: The target.
     :param pool: The pool to join.
-    :param budget: Least number of available VMs of its present pool.
+    :param budget: Minimum available VMs of the target's present pool.
     :param unavailable: Targets that do not serve now.
     """
     target = hall.targets.get(vm)
@@ -117,7 +118,7 @@
 
 
 def order_return(hall: record.Hall, vm: str) -> Changed | Rejected:
-    """Let a target that is away serve again.
+    """Order a target that is leaving or away to serve again.
 
     :param hall: Record of the hall.
     :param vm: The target.
@@ -136,11 +137,11 @@
 def count_available(
     hall: record.Hall, pool: str, unavailable: Collection[str]
 ) -> int:
-    """Count a pool's targets that serve.
+    """Count a pool's available targets.
 
     :param hall: Record of the hall.
     :param pool: Name of the pool.
-    :param unavailable: Targets that do not serve whatever their state.
+    :param unavailable: Targets that do not serve now, whatever their state.
     """
     return sum(
         1
@@ -158,18 +159,19 @@
     listed: Collection[str] | None,
     now: float,
 ) -> tuple[Changed | None, list[Waiting]]:
-    """Take the next step that acknowledgements allow.
+    """Return the next change that the acknowledgements permit.
 
-    A step is proposed on acknowledgements alone.  Before it is written the
-    caller asks every holder once more (:func:`list_holders`): an entry that
-    restarted after its acknowledgement then answers for what it has now.
+    The change is proposed on acknowledgements alone.  Before the caller
+    writes it, it asks every holder (:func:`list_holders`) again: an entry
+    that restarted after its acknowledgement then reports its present work.
 
     :param hall: Record of the hall.
-    :param revision: Its revision.
+    :param revision: Revision of the record.
     :param reports: Newest report of each entry, by VM identity.
     :param listed: VMs on the platform's list; ``None`` if it is not known.
-    :param now: Present time of this clock, in seconds.
-    :return: The change, ``None`` if there is none, and what waits.
+    :param now: Present time by this VM's clock, in seconds.
+    :return: The change, ``None`` if there is none, and the transitions that
+        wait.
     """
     waits: list[Waiting] = []
     left = hall
@@ -186,7 +188,7 @@
         if missing:
             waits.append(Waiting(subject=vm, holders=missing))
             continue
-        gone = _leave(left, vm, target)
+        gone = _complete_revocation(left, vm, target)
         left = gone.hall
         notes.append(gone.note)
     if notes:
@@ -200,11 +202,11 @@
 ) -> list[str]:
     """List the entries that may hold rights on the hall's targets.
 
-    An entry joins only while the platform lists its VM, so that a VM of the
-    division that is not listed any more is proved gone.
+    An entry joins only while the platform lists its VM, so a VM of the
+    division that is no longer listed is proved gone.
 
-    An entry that is about to join has no share before the division with it
-    is in force, so that it holds nothing.
+    An entry that is about to join has no share, and hence no rights, until
+    the division that includes it is in force.
 
     :param hall: Record of the hall.
     :param listed: VMs on the platform's list; ``None`` if it is not known.
@@ -221,13 +223,13 @@
     reports: Mapping[str, record.Report],
     asked: str,
 ) -> list[str]:
-    """List the holders that have not reported since they were asked.
+    """List the holders that have not reported in a confirmation round.
 
     :param hall: Record of the hall.
     :param listed: VMs on the platform's list; ``None`` if it is not known.
     :param reports: Newest report of each entry, by VM identity.
-    :param asked: Name of the round in which they were asked, after all
-        acknowledgements for the step had come.
+    :param asked: Name of the round, which began after all acknowledgements
+        for the step had arrived.
     """
     missing = []
     for holder in list_holders(hall, listed):
@@ -238,15 +240,15 @@
 
 
 def may_serve_copy(hall: record.Hall, vm: str, source: str) -> bool:
-    """Return whether a VM that starts anew may serve on a peer's copy.
+    """Return whether a restarted VM may serve on a peer's copy.
 
-    Only a copy from another entry that holds rights will do: what this VM
-    acknowledged before it restarted, that one had acknowledged too before
-    any step was written, or it will be asked again before one is.
+    The copy must come from another entry that holds rights.  A step that
+    this VM acknowledged before its restart was either written after that
+    entry's acknowledgement too, or is written only after asking again.
 
-    :param hall: The copy of the hall's record.
-    :param vm: The VM that starts.
-    :param source: The VM that the copy comes from.
+    :param hall: The peer's copy of the hall's record.
+    :param vm: The restarted VM.
+    :param source: VM of the peer.
     """
     return source != vm and source in hall.division.entries
 
@@ -264,7 +266,7 @@
     holders = [
         entry
         for entry in list_holders(hall, listed)
-        if not _has_shrunk(hall, reports.get(entry), revision)
+        if not _has_released_excess(hall, reports.get(entry), revision)
     ]
     if holders:
         return None, [Waiting(subject="entries", holders=holders)]
@@ -317,12 +319,12 @@
     return vm not in report.busy
 
 
-def _has_shrunk(
+def _has_released_excess(
     hall: record.Hall, report: record.Report | None, revision: int
 ) -> bool:
     if report is None or report.hall_revision < revision:
         return False
-    # A target on its way out is nobody's share; its own step waits for it.
+    # A revoked target is in no share; its own transition waits for holders.
     held = [
         vm
         for vm in (*report.busy, *report.excess)
@@ -332,8 +334,10 @@
     return not held
 
 
-def _leave(hall: record.Hall, vm: str, target: record.Target) -> Changed:
-    """Let a target go whose senders have all acknowledged."""
+def _complete_revocation(
+    hall: record.Hall, vm: str, target: record.Target
+) -> Changed:
+    """Move a revoked target on after all senders have acknowledged."""
     if target.move_to is not None:
         joined = dataclasses.replace(
             target,
@@ -354,7 +358,7 @@
 
     :param hall: Record of the hall.
     :param vm: Identity of the target.
-    :param target: The target as it is from now on.
+    :param target: New state of the target.
     """
     targets = dict(hall.targets)
     targets[vm] = target
--- a/src/rackvalve/fleet/waves.py
+++ b/src/rackvalve/fleet/waves.py
@@ -1,9 +1,9 @@
-"""Maintenance waves: pure functions of the record, budgets and health.
+"""Maintenance waves, as pure functions of the record, budgets and health.
 
-A wave lets as many VMs leave at once as the budgets of their pools allow,
-counting only VMs that serve and are healthy now; a VM that does not come
-back counts as missing.  All it needs stands in the hall's record, so that
-any steward resumes it.
+A wave lets as many VMs leave at once as the budgets of their pools allow.
+Only VMs that serve and are healthy now count as available, so a VM that does
+not come back counts as missing.  The whole state of a wave is in the hall's
+record, so that any steward can resume it.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 ENDED_KEPT = 20
 
-_FOLLOWING: dict[record.Phase, tuple[record.Phase, ...]] = {
+_PRIOR_PHASES: dict[record.Phase, tuple[record.Phase, ...]] = {
     record.Phase.PAUSED: (record.Phase.RUNNING,),
     record.Phase.RUNNING: (record.Phase.PAUSED,),
     record.Phase.ABANDONED: (record.Phase.RUNNING, record.Phase.PAUSED),
@@ -30,9 +30,9 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Preview:
-    """What a wave would do.
+    """Expected course of a wave.
 
-    :param rounds: Rounds that it takes if every VM comes back.
+    :param rounds: Rounds of the wave if every VM comes back.
     :param most_away: Most VMs away at once.
     :param stuck: VMs that can never leave within the budgets.
     """
@@ -62,7 +62,7 @@
                 reason=f"VM {vm!r} is not in this hall"
             )
     wave = record.Wave(pending=sorted(vms), started=now)
-    ordered = _put_wave(_forget_ended(hall), name, wave)
+    ordered = _put_wave(_drop_oldest_ended(hall), name, wave)
     return transitions.Changed(hall=ordered, note=f"wave {name} ordered")
 
 
@@ -71,17 +71,17 @@
 ) -> transitions.Changed | transitions.Rejected:
     """Pause, resume or abandon a wave.
 
-    VMs that have left already still come back; a pause and an abandonment
-    only keep further ones from leaving.
+    VMs that have already left still come back; to pause or abandon a wave
+    only keeps further VMs from leaving.
 
     :param hall: Record of the hall.
     :param name: Name of the wave.
-    :param phase: The phase wanted.
+    :param phase: Phase to change to.
     """
     wave = hall.waves.get(name)
     if wave is None:
         return transitions.Rejected(reason=f"wave {name!r} does not exist")
-    if wave.phase not in _FOLLOWING.get(phase, ()):
+    if wave.phase not in _PRIOR_PHASES.get(phase, ()):
         return transitions.Rejected(
             reason=f"wave {name!r} is {wave.phase.value}"
         )
@@ -98,19 +98,19 @@
     *,
     rack_safe: Collection[str] = (),
 ) -> transitions.Changed | None:
-    """Let VMs of the running waves leave, and note those that came back.
+    """Revoke further VMs of running waves and record those that came back.
 
     :param hall: Record of the hall.
-    :param budgets: Least number of available VMs by pool.
+    :param budgets: Minimum available VMs by pool.
     :param unavailable: Targets that do not serve now, though their state
         is ``serving``.
-    :param rack_safe: Pools that keep their budget if a rack is lost too.
+    :param rack_safe: Pools that must keep their budget if a rack is lost.
     :return: ``None`` if there is nothing to change.
     """
     changed = hall
     notes = []
     for name, wave in hall.waves.items():
-        settled = _settle(changed, wave)
+        settled = _update_progress(changed, wave)
         leaving: list[str] = []
         if settled.phase is record.Phase.RUNNING:
             leaving = choose_leaving(
@@ -120,7 +120,7 @@
                 unavailable,
                 rack_safe=rack_safe,
             )
-            settled = _finish(_move_active(settled, leaving))
+            settled = _finish(_activate(settled, leaving))
         changed = _revoke(changed, leaving)
         if settled != wave:
             changed = _put_wave(changed, name, settled)
@@ -140,18 +140,18 @@
 ) -> list[str]:
     """Choose which VMs may leave now.
 
-    Unhealthy VMs go first, since they cost no availability; then those of
-    racks that are under way already, so that a rack is done as a whole and
-    as few racks as possible are touched at once.
+    Unhealthy VMs go first, since they cost no availability; then VMs of
+    racks where others have already left, so that racks are finished one
+    after another and as few as possible are affected at once.
 
     :param hall: Record of the hall.
-    :param pending: VMs that want to leave.
-    :param budgets: Least number of available VMs by pool.
+    :param pending: VMs that have yet to leave.
+    :param budgets: Minimum available VMs by pool.
     :param unavailable: Targets that do not serve now.
-    :param rack_safe: Pools that keep their budget if a rack is lost too.
+    :param rack_safe: Pools that must keep their budget if a rack is lost.
     """
-    room = _Room(hall, budgets, unavailable, rack_safe)
-    touched = collections.Counter(
+    headroom = _Headroom(hall, budgets, unavailable, rack_safe)
+    affected_racks = collections.Counter(
         target.rack
         for target in hall.targets.values()
         if target.state is not record.State.SERVING
@@ -162,14 +162,14 @@
     ready.sort(
         key=lambda vm: (
             vm not in unavailable,
-            -touched[hall.targets[vm].rack],
+            -affected_racks[hall.targets[vm].rack],
             hall.targets[vm].rack,
             vm,
         )
     )
     chosen = []
     for vm in ready:
-        if vm in unavailable or room.take(hall.targets[vm]):
+        if vm in unavailable or headroom.reserve(hall.targets[vm]):
             chosen.append(vm)
     return chosen
 
@@ -182,13 +182,13 @@
     *,
     rack_safe: Collection[str] = (),
 ) -> Preview:
-    """Return what a wave would do, if every VM came back each round.
+    """Simulate a wave in which every VM comes back in each round.
 
     :param hall: Record of the hall.
     :param vms: VMs of the wave.
-    :param budgets: Least number of available VMs by pool.
+    :param budgets: Minimum available VMs by pool.
     :param unavailable: Targets that do not serve now.
-    :param rack_safe: Pools that keep their budget if a rack is lost too.
+    :param rack_safe: Pools that must keep their budget if a rack is lost.
     """
     pending = [vm for vm in sorted(vms) if vm in hall.targets]
     rounds = 0
@@ -206,13 +206,13 @@
     return Preview(rounds=rounds, most_away=most, stuck=pending)
 
 
-class _Room:
-    """How many available VMs each pool can spare, as VMs are chosen.
+class _Headroom:
+    """Headroom of each pool above its budget while VMs are chosen.
 
     :param hall: Record of the hall.
-    :param budgets: Least number of available VMs by pool.
+    :param budgets: Minimum available VMs by pool.
     :param unavailable: Targets that do not serve now.
-    :param rack_safe: Pools that keep their budget if a rack is lost too.
+    :param rack_safe: Pools that must keep their budget if a rack is lost.
     """
 
     def __init__(
@@ -232,16 +232,17 @@
                 )
                 racks[target.rack] += 1
                 self._totals[target.pool] += 1
-        # A pool that a rack's loss would break already is not held up.
+        # A pool that could not survive the loss of a rack even now is exempt,
+        # so that its wave is not blocked.
         self._rack_safe = {
             pool for pool in rack_safe if self._survives_rack(pool)
         }
 
-    def take(self, target: record.Target) -> bool:
-        """Take one available VM out, if its pool can spare it.
+    def reserve(self, target: record.Target) -> bool:
+        """Count one available VM as leaving if its pool permits it.
 
         :param target: The VM.
-        :return: Whether it may leave.
+        :return: Whether the VM may leave.
         """
         pool = target.pool
         if self._totals[pool] <= self._budgets.get(pool, 0):
@@ -264,8 +265,8 @@
         return left >= self._budgets.get(pool, 0)
 
 
-def _settle(hall: record.Hall, wave: record.Wave) -> record.Wave:
-    """Note which VMs came back, and which are gone from the hall."""
+def _update_progress(hall: record.Hall, wave: record.Wave) -> record.Wave:
+    """Update a wave for VMs that came back or were removed from the hall."""
     back = [
         vm
         for vm in wave.active
@@ -288,7 +289,7 @@
 
 
 def _revoke(hall: record.Hall, leaving: list[str]) -> record.Hall:
-    """Return a record in which VMs leave, with one copy for all of them."""
+    """Return a record with VMs revoked; copies the targets only once."""
     if not leaving:
         return hall
     targets = dict(hall.targets)
@@ -299,7 +300,7 @@
     return dataclasses.replace(hall, targets=targets)
 
 
-def _move_active(wave: record.Wave, leaving: list[str]) -> record.Wave:
+def _activate(wave: record.Wave, leaving: list[str]) -> record.Wave:
     if not leaving:
         return wave
     left = set(leaving)
@@ -317,8 +318,8 @@
     return wave
 
 
-def _forget_ended(hall: record.Hall) -> record.Hall:
-    """Drop the oldest waves that have ended, so that the record stays small.
+def _drop_oldest_ended(hall: record.Hall) -> record.Hall:
+    """Remove the oldest ended waves to keep the record small.
 
     An abandoned wave is kept while VMs of it are still away.
     """
