--- a/src/rackvalve/requests/admission.py
+++ b/src/rackvalve/requests/admission.py
@@ -236,7 +236,7 @@
     def dispatch(
         self, pool: str, now: float
     ) -> list[decisions.Started | decisions.Ended]:
-        """Start a pool's waiting jobs that may start; refuse expired ones.
+        """Start a pool's waiting jobs that may start; refuse those too late.
 
         :param pool: Name of the pool.
         :param now: Present time, in seconds.
--- a/src/rackvalve/requests/estimates.py
+++ b/src/rackvalve/requests/estimates.py
@@ -92,11 +92,11 @@
         return stream.high
 
     def observe(self, workspace: str, job_class: str, run: float) -> None:
-        """Learn from one run.
+        """Add one observed run time.
 
         :param workspace: Name of the workspace.
         :param job_class: Name of the class.
-        :param run: Its length, in seconds.
+        :param run: Run time, in seconds.
         """
         stream = self._streams.get((workspace, job_class))
         if stream is None:
--- a/src/rackvalve/requests/scheduler.py
+++ b/src/rackvalve/requests/scheduler.py
@@ -237,7 +237,9 @@
         return state.queue.remove(job.workspace, job.number)
 
     def dispatch(self, now: float) -> list[decisions.Decision]:
-        """Start the waiting jobs that may start, and refuse expired ones.
+        """Start the waiting jobs that may start; refuse those too late.
+
+        A job is too late if it can no longer end by its deadline.
 
         :param now: Present time, in seconds.
         """
