--- a/features/bounds.feature
+++ b/features/bounds.feature
@@ -1,6 +1,7 @@
-# Twenty workspaces, a few of them large, share 349 VMs of 32 cores and 64 GB;
-# memory is what binds: a workspace had 730 GB running where 652 GB were allowed.
-# Bounds are lowered far below what runs and raised again while owners change.
+# Guards against a workspace that exceeds its bound: one had 730 GB running with
+# 652 GB allowed.  Twenty workspaces, a few of them large, share 349 VMs of 32
+# cores and 64 GB, and memory is the scarce resource.  Bounds are lowered far
+# below the present usage and raised again while the owner changes.
 Feature: A workspace has no more running than its bound, and its work goes on
 
   Scenario: The bound holds over all jobs, and other workspaces go on
--- a/features/fleet_history.py
+++ b/features/fleet_history.py
@@ -1,4 +1,4 @@
-"""Generated histories of a hall, and the budgets they keep."""
+"""Generated histories of a hall that check the budgets of its pools."""
 
 from __future__ import annotations
 
@@ -34,7 +34,11 @@
 
 
 class FleetHistory:
-    """Random orders, steps, failures and returns on one hall."""
+    """Random orders, steps, failures and returns in one hall.
+
+    :param source: Source of random numbers.
+    :param naive: Whether to empty whole racks without regard to budgets.
+    """
 
     def __init__(self, source, naive):
         self.source = source
@@ -44,7 +48,7 @@
         self.broken = False
 
     def run(self, length):
-        """Run random events and check after each change."""
+        """Run random events and check the hall after each."""
         events = [
             self._order_wave,
             self._step,
@@ -133,6 +137,6 @@
         for pool, budget in BUDGETS.items():
             had = count_serving(before, pool, self.down)
             has = count_serving(self.hall, pool, self.down)
-            # Failures may take a pool below its budget; orders may not.
+            # A failure may take a pool below its budget; an order may not.
             if has < had and has < budget:
                 self.broken = True
--- a/features/shares.feature
+++ b/features/shares.feature
@@ -1,5 +1,5 @@
-# A few workspaces send most of the jobs, in turns of five times their mean; one
-# that sends more than it has paid for must be late by itself.
+# A few workspaces send most of the jobs, each in turn at five times its mean
+# rate.  A workspace beyond its guaranteed rate must delay only its own jobs.
 Feature: When room is short, each workspace has the rate that it has paid for
 
   Scenario: One workspace floods a full pool, the others keep their rate
--- a/features/steps/bound_steps.py
+++ b/features/steps/bound_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the bounds of workspaces, over the product's cluster."""
+"""Steps about the bounds of workspaces, run on the scheduler's cluster."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 from rackvalve.workspaces import usage
 
 NAMES = ("north", "south")
-STEPS_OF_HISTORY = 120
-# Events of a history with two owners.
+HISTORY_LENGTH = 120
+# Events in each job history, which has two owners.
 EVENTS = 250
-LEASE_OF_HISTORY_S = 6.0
+HISTORY_LEASE_S = 6.0
 
 
-def make_room(units):
+def make_resources(units):
     return fleet.Resources(cpu=units, memory=units, gpu=0)
 
 
 def set_bounds(bench, bounds):
     workspaces = directory.Directory(
         account.Workspace(
-            name=name, rate=100.0, bound=make_room(bounds.get(name, 0))
+            name=name, rate=100.0, bound=make_resources(bounds.get(name, 0))
         )
         for name in NAMES
     )
@@ -61,7 +61,7 @@
 
 
 def end_run(bench, placed, ending):
-    """Have a worker report the end of one run, and all others as running."""
+    """Report the end of one run; its worker's other runs go on."""
     key = (placed.full_name, placed.run.number)
     rows = [
         row
@@ -73,7 +73,7 @@
 
 
 def count_running(bench, workspace):
-    """Count the runs of a workspace the naive way."""
+    """Count the runs of a workspace without the usage sums."""
     return sum(
         len(task.runs)
         for state in bench.cluster.jobs.values()
@@ -88,7 +88,7 @@
 )
 def make_bench(context, count, room, bound):
     names = [f"w{number}" for number in range(count)]
-    context.bench = job_bench.Bench(names, capacity=make_room(room))
+    context.bench = job_bench.Bench(names, capacity=make_resources(room))
     set_bounds(context.bench, {"north": bound})
 
 
@@ -141,9 +141,9 @@
 
 
 def advance(bench, seconds, silent):
-    """Let time pass until something starts; return how much does.
+    """Advance the clock until runs start; return how many started.
 
-    All workers but the silent ones go on answering.
+    All workers but the silent ones keep reporting.
     """
     until = bench.now + seconds
     started = 0
@@ -250,18 +250,18 @@
 
 
 class History:
-    """Random events over one cluster, with a count of its own."""
+    """Random events on one cluster, checked by an independent usage count."""
 
     def __init__(self, seed):
         self.random = random.Random(seed)
-        self.bench = job_bench.Bench(["w0", "w1", "w2"], make_room(12))
+        self.bench = job_bench.Bench(["w0", "w1", "w2"], make_resources(12))
         self.bounds = {}
         self.added = 0
         self.workers = 3
 
     def play(self):
-        """Play the history; return what went wrong, or an empty text."""
-        for _ in range(STEPS_OF_HISTORY):
+        """Play the history; return the first fault, or an empty string."""
+        for _ in range(HISTORY_LENGTH):
             before = self.count()
             event = self.random.choice(
                 (
@@ -285,10 +285,10 @@
 
     def count(self):
         return collections.Counter(
-            {name: self.sum_asked(name) for name in NAMES}
+            {name: self.sum_memory(name) for name in NAMES}
         )
 
-    def sum_asked(self, name):
+    def sum_memory(self, name):
         return sum(
             state.step_of(task.name).memory * len(task.runs)
             for state in self.bench.cluster.jobs.values()
@@ -364,7 +364,7 @@
             )
 
     def wait(self):
-        self.bench.now += self.random.random() * LEASE_OF_HISTORY_S
+        self.bench.now += self.random.random() * HISTORY_LEASE_S
         for name in self.bench.numbers:
             if self.random.random() < 0.7:
                 self.bench.report(name, self.bench.rows(name))
--- a/features/steps/rights_steps.py
+++ b/features/steps/rights_steps.py
@@ -1,4 +1,4 @@
-"""Steps about keys, shares and the exploration of small models."""
+"""Steps about idempotency keys, slot shares and explored models."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 
 def make_key(created, number):
-    """Make a key of a given time."""
+    """Make an idempotency key (UUIDv7) of a given time, in seconds."""
     value = (int(created * 1000) << 80) | (7 << 76) | (2 << 62) | number
     text = f"{value:032x}"
     return "-".join(
@@ -73,7 +73,7 @@
 
 
 class KeyHistory:
-    """Keys claimed at entries that restart and change."""
+    """Random claims of keys at entries that restart, join and leave."""
 
     def __init__(self, kind):
         self.kind = kind
@@ -85,11 +85,11 @@
         self.twice = False
 
     def make(self, vm, started):
-        """Start an entry's registry."""
+        """Make the key registry of an entry that has just started."""
         return REGISTRIES[self.kind](vm, started=started, policy=POLICY)
 
     def run(self, actions):
-        """Run actions."""
+        """Run actions; return whether a key was granted twice."""
         for number, (action, key, vm) in enumerate(actions):
             self.now += 0.7
             if action == "claim":
@@ -113,7 +113,7 @@
         return self.keys[index]
 
     def _claim(self, index, vm, number):
-        # The claim goes to any entry: a caller's balancer may choose it.
+        # A caller's load balancer may send the claim to any entry.
         key = self._get_key(index)
         division = record.Division(epochs=self.epochs)
         claim = self.registries[ENTRIES[vm]].claim(
@@ -229,7 +229,7 @@
 
 
 def divide_generated(count, naive):
-    """Return the greatest excess of shares over slots, over all mixes."""
+    """Return the greatest excess of shares over slots in any division mix."""
     source = random.Random(11)
     worst = -(10**9)
     for number in range(count):
@@ -238,8 +238,8 @@
         after = sorted(source.sample("abcdef", source.randint(1, 5)))
         first = record.Epoch(since=0.0, entries=before)
         second = record.Epoch(since=1.0, entries=after)
-        # Entries have heard of the change, of its end, or of neither; it
-        # ends only once all old holders have heard of the change.
+        # An entry may know of the change, of its end, or of neither; the
+        # change ends only once all old holders know of it.
         old = record.Division(epochs=[first])
         between = record.Division(epochs=[first], next_entries=after)
         new = record.Division(epochs=[first, second])
--- a/features/steps/share_steps.py
+++ b/features/steps/share_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the rates that workspaces have paid for."""
+"""Steps about the guaranteed rates of workspaces."""
 
 from __future__ import annotations
 
@@ -26,7 +26,9 @@
     "a pool with room for {room:d} tasks and workspaces with these rates"
 )
 def make_pool(context, room):
-    context.bench = job_bench.Bench(["w0"], capacity=bounds.make_room(room))
+    context.bench = job_bench.Bench(
+        ["w0"], capacity=bounds.make_resources(room)
+    )
     context.sends = {
         row["workspace"]: int(row["sends"]) for row in context.table
     }
@@ -107,7 +109,7 @@
     context.rates = rates.Rates()
 
 
-def take(context, times):
+def count_conforming(context, times):
     return sum(
         context.rates.count_job(context.workspace, time) for time in times
     )
@@ -118,8 +120,10 @@
 )
 def send(context, first, second):
     context.counts = [
-        take(context, [100.0 + n / first for n in range(first)]),
-        take(context, [101.0 + n / max(1, second) for n in range(second)]),
+        count_conforming(context, [100.0 + n / first for n in range(first)]),
+        count_conforming(
+            context, [101.0 + n / max(1, second) for n in range(second)]
+        ),
     ]
 
 
@@ -133,8 +137,8 @@
 
 @behave.when("it sends {count:d} jobs at once after {rest:d} seconds of rest")
 def send_after_rest(context, count, rest):
-    take(context, [100.0])
-    context.counts = [take(context, [100.0 + rest] * count)]
+    count_conforming(context, [100.0])
+    context.counts = [count_conforming(context, [100.0 + rest] * count)]
 
 
 @behave.when(
@@ -144,7 +148,7 @@
 def send_swapped(context, count, gap):
     times = [100.0 + gap * number for number in range(count)]
     swapped = [times[number ^ 1] for number in range(count)]
-    context.counts = [take(context, swapped)]
+    context.counts = [count_conforming(context, swapped)]
 
 
 @behave.then("{count:d} of them are within its rate")
--- a/features/steps/wave_steps.py
+++ b/features/steps/wave_steps.py
@@ -1,4 +1,4 @@
-"""Steps about waves, moves and drains."""
+"""Steps about maintenance waves, moves and drains."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 
 
 def search_rounds(vms, most):
-    """Return the fewest rounds, by trying all sets that may leave."""
+    """Return the fewest rounds, by exhaustive search of departure sets."""
     everyone = frozenset(range(vms))
     reached = {everyone}
     rounds = 0
@@ -128,7 +128,7 @@
 
 
 def lose_worst_rack(context, rack_safe):
-    """Step a wave, lose each rack, and return the fewest VMs left."""
+    """Step a wave and return the VMs left after the worst loss of a rack."""
     ordered = waves.order_wave(context.hall, "w", context.hall.targets, 0.0)
     stepped = waves.step_waves(
         ordered.hall, context.budgets, (), rack_safe=rack_safe
@@ -261,8 +261,8 @@
     return reply.status, json.loads(reply.body)
 
 
-def insist(context, kind, **body):
-    """Order until it is accepted or was done already."""
+def retry_order(context, kind, **body):
+    """Retry a command until it is accepted or found to be done already."""
 
     def try_order():
         status, answer = order(context, kind, 1, **body)
@@ -289,8 +289,8 @@
     gevent.sleep(0.7)
 
 
-def maintain(context, name, disturb=lambda: None, timeout=60.0):
-    """Play the platform: return what is away, watch the budget."""
+def complete_wave(context, name, disturb=lambda: None, timeout=60.0):
+    """Return away VMs until a wave is done; track the fewest serving."""
     end = time.monotonic() + timeout
     wave = None
     while time.monotonic() < end:
@@ -309,7 +309,7 @@
             return
         for vm in wave.active if wave else ():
             if hall.targets[vm].state is record.State.AWAY:
-                # What fails now is ordered again in the next round.
+                # A failed order is repeated in the next iteration.
                 order(context, "return", 1, vm=vm)
     raise TimeoutError(f"wave is not done: {wave}")
 
@@ -319,14 +319,14 @@
     status, answer = order(context, "set-budget", pool=POOL, budget=3)
     assert status == 200, answer
     start_load(context, 8)
-    insist(context, "start-wave", name="w", pool=POOL)
-    maintain(context, "w")
+    retry_order(context, "start-wave", name="w", pool=POOL)
+    complete_wave(context, "w")
 
 
 @behave.then("every request was served")
 def check_every(context):
     for load in context.loads:
-        # The summary was read by the step before.
+        # The summary was read by the previous step.
         found = load.found
         assert found["served"] == found["sent"], found
 
@@ -340,7 +340,7 @@
 @behave.when("a wave passes while stewards are killed and the platform fails")
 def run_disturbed(context):
     fleet = context.fleet
-    insist(context, "start-wave", name="w", pool=POOL)
+    retry_order(context, "start-wave", name="w", pool=POOL)
     faults = itertools.cycle(
         (
             lambda: fleet.entries[0].steward.kill(),
@@ -360,7 +360,7 @@
             next(faults)()
             gevent.sleep(0.4)
 
-    maintain(context, "w", disturb)
+    complete_wave(context, "w", disturb)
 
 
 @behave.then("the wave is done")
@@ -404,7 +404,7 @@
 def freeze_and_drain(context):
     context.vm = f"north-{POOL}-1"
     context.fleet.entries[0].entry.freeze()
-    insist(context, "drain", vm=context.vm)
+    retry_order(context, "drain", vm=context.vm)
     gevent.sleep(2.0)
 
 
@@ -443,21 +443,21 @@
     entry.entry.kill()
     entry.steward.kill()
     context.fleet.list_vms(without=[entry.vm])
-    insist(context, "drain", vm=context.vm)
+    retry_order(context, "drain", vm=context.vm)
 
 
 @behave.when("an entry process is killed and a VM is drained")
 def kill_and_drain(context):
     context.vm = f"north-{POOL}-1"
     context.fleet.entries[0].entry.kill()
-    insist(context, "drain", vm=context.vm)
+    retry_order(context, "drain", vm=context.vm)
 
 
 @behave.when("a VM is drained under load")
 def drain_loaded(context):
     context.vm = f"north-{POOL}-1"
     start_load(context, 5)
-    insist(context, "drain", vm=context.vm)
+    retry_order(context, "drain", vm=context.vm)
     context.ordered = time.monotonic()
     gevent.sleep(3.0)
     context.arrived = context.fleet.control_target(context.vm)["arrived"]
