--- a/features/decisions.feature
+++ b/features/decisions.feature
@@ -7,15 +7,15 @@
     Then its tasks run on the other VMs within 1 s
 
     Examples:
-      | how                     |
-      | as off                  |
-      | as moved                |
-      | as up with another life |
-      | no more                 |
+      | how                            |
+      | as off                         |
+      | as moved                       |
+      | as up with another incarnation |
+      | no more                        |
       | no more, and only records name it |
 
   # A VM that has just come back is still listed as off.
-  Scenario: A life that no list has named is over only once the list tells of it
+  Scenario: An incarnation that no list has named is over only once the list tells of it
     Given a pool of 4 VMs, a job of 8 tasks on them, and 0 spare VMs
     When the worker of one VM is silent and the VM is listed as off
     Then its tasks run on no other VM within 1.9 s
@@ -27,15 +27,15 @@
     When the worker of one VM is silent and one list leaves that VM out
     Then its tasks run on no other VM within 1 s
 
-  Scenario Outline: A list proves nothing of a life <what>
-    Given a life "w1" on the VM "<vm>", last heard at 10 s
+  Scenario Outline: A list proves nothing of an incarnation <what>
+    Given an incarnation "w1" on the VM "<vm>", last heard at 10 s
     When lists read at 20 s and 30 s name <listed>
-    Then the life is not proved over
+    Then the incarnation is not proved over
 
     Examples:
-      | what                         | vm  | listed                 |
-      | whose VM nobody knows        |     | nothing on the VM m-2  |
-      | that it names on another VM  | m-1 | the life on the VM m-2 |
+      | what                         | vm  | listed                        |
+      | whose VM nobody knows        |     | nothing on the VM m-2         |
+      | that it names on another VM  | m-1 | the incarnation on the VM m-2 |
 
   Scenario: A VM that is only silent keeps its tasks until its lease is over
     Given a pool of 4 VMs, a job of 8 tasks on them, and 0 spare VMs
--- a/features/entries.feature
+++ b/features/entries.feature
@@ -25,7 +25,7 @@
   Scenario: A worker whose entry turns unreadable gets no work, and runs on
     Given a worker with a good entry that has just answered
     When its entry turns unreadable
-    Then it takes no work, and its life is not over
+    Then it takes no work, and its incarnation is not over
     When its entry is good again
     Then it takes work
 
--- a/features/job_bench.py
+++ b/features/job_bench.py
@@ -118,8 +118,8 @@
         """Return the run that an order to stop names."""
         return self.cluster.workers[order.worker].runs[order.task, order.run]
 
-    def end_life(self, name, proof="another life answers"):
-        """Let a worker's life be over by a proof."""
+    def end_incarnation(self, name, proof="another life answers"):
+        """End a worker's incarnation by a proof."""
         return endings.end_incarnation(
             self.cluster, name, proof, now=self.now, wall=self.now
         )
--- a/features/jobs.feature
+++ b/features/jobs.feature
@@ -6,9 +6,9 @@
 
   # All tasks of one worker ran twice.  Its VM had crashed and was back, but the
   # platform's list, which is behind, still told of the time between: a VM that
-  # is off, without a worker.  The new life was silent for a moment, and the
-  # list was taken as proof that it was over, since its reading had begun after
-  # the life's last answer.  What proved it: it needs a list that is behind.
+  # is off, without a worker.  The new incarnation was silent for a moment, and
+  # the list was taken as proof that it was over, since its reading had begun
+  # after the incarnation's last answer.  The fault needs a list that is behind.
   Scenario: A list of VMs that is behind makes no task run twice
     When 300 generated job histories run beside a list up to 2 s behind
     Then no promise to callers was broken
--- a/features/proofs.feature
+++ b/features/proofs.feature
@@ -11,7 +11,7 @@
     When 4 jobs run, their owner is killed and their workers crash, and the next owner ends too
     Then all of them are shown as completed and each task ended well once
     And no task ever ran twice at the same time
-    And an owner that followed was told by each of these workers' VMs that another life is there
+    And an owner that followed was told by each of these workers' VMs that another incarnation is there
 
   Scenario Outline: A record tells where a run's worker can be asked
     Given a job with a run on a worker at 127.0.0.1:8001 on the VM m-1
--- a/features/steps/bound_steps.py
+++ b/features/steps/bound_steps.py
@@ -351,7 +351,7 @@
         name = self.random.choice(list(self.bench.numbers))
         if len(self.bench.numbers) > 1:
             del self.bench.numbers[name]
-            self.bench.end_life(name)
+            self.bench.end_incarnation(name)
 
     def reject_start(self):
         placed = self.pick_run()
--- a/features/steps/count_steps.py
+++ b/features/steps/count_steps.py
@@ -123,12 +123,12 @@
 
 def _lose_worker(case):
     case.order_start()
-    case.bench.end_life(case.order.worker)
+    case.bench.end_incarnation(case.order.worker)
 
 
 def _start_and_lose_worker(case):
     _take(case)
-    case.bench.end_life(case.order.worker)
+    case.bench.end_incarnation(case.order.worker)
 
 
 def _take_both(case):
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -190,7 +190,7 @@
             for name in bench.numbers.keys() - crashed.keys():
                 bench.report(name, bench.rows(name))
         for name in crashed:
-            bench.end_life(name)
+            bench.end_incarnation(name)
             del bench.numbers[name]
             made += 1
             add_worker(bench, f"n{made}")
@@ -254,7 +254,7 @@
         bench.report("w1", bench.rows("w1"))
     elif how == "ends by an order to its VM":
         worker.ordered_away = True
-    bench.end_life("w1")
+    bench.end_incarnation("w1")
 
 
 @behave.then("crashes count against {whom}")
@@ -326,7 +326,7 @@
         bench.report(name, bench.rows(name))
         orders = bench.start_all()
         assert name in {order.worker for order in orders}, orders
-    bench.end_life(name)
+    bench.end_incarnation(name)
 
 
 @behave.then("it counts in isolation: {counts}")
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -92,7 +92,7 @@
 CONDITIONS = {
     "off": {"lost": True, "worker": ""},
     "up": {},
-    "up with another life": {"worker": "w99"},
+    "up with another incarnation": {"worker": "w99"},
     "moved": {"up": False, "worker": ""},
 }
 
@@ -288,28 +288,32 @@
     assert planner.decide(bench.now)
 
 
-@behave.given('a life "{name}" on the VM "{vm}", last heard at {heard:d} s')
+@behave.given(
+    'an incarnation "{name}" on the VM "{vm}", last heard at {heard:d} s'
+)
 def make_incarnation(context, name, vm, heard):
-    context.life = (name, vm, float(heard))
+    context.incarnation = (name, vm, float(heard))
 
 
-@behave.given('a life "{name}" on the VM "", last heard at {heard:d} s')
+@behave.given(
+    'an incarnation "{name}" on the VM "", last heard at {heard:d} s'
+)
 def make_incarnation_without_vm(context, name, heard):
-    context.life = (name, "", float(heard))
+    context.incarnation = (name, "", float(heard))
 
 
 @behave.when("lists read at {first:d} s and {second:d} s name {what}")
 def take_lists(context, first, second, what):
-    name = context.life[0]
-    worker = name if what.startswith("the life") else ""
+    name = context.incarnation[0]
+    worker = name if what.startswith("the incarnation") else ""
     listed = {"m-2": vms.list_vm("m-2", worker=worker)}
     context.listings = listings.Listings()
     for read in (first, second):
         context.listings.update(listed, float(read), {name})
 
 
-@behave.then("the life is not proved over")
+@behave.then("the incarnation is not proved over")
 def check_not_proved(context):
-    name, vm, heard = context.life
+    name, vm, heard = context.incarnation
     began = float("-inf")
     assert not context.listings.prove_over(name, vm, began=began, alive=heard)
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -67,7 +67,7 @@
     write_entry(context, b"\xff\x00")
 
 
-@behave.then("it takes no work, and its life is not over")
+@behave.then("it takes no work, and its incarnation is not over")
 def check_unused(context):
     worker = context.cluster.workers["w1"]
     assert not worker.takes_work(NOW, 0.9)
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -132,7 +132,7 @@
         self.deposed = reason
 
     def end_incarnation(self, identity, reason):
-        self.bench.end_life(identity, reason)
+        self.bench.end_incarnation(identity, reason)
 
     def switch_incarnation(self, worker, born):
         worker_restarts.note_replaced(
--- a/features/steps/isolation_steps.py
+++ b/features/steps/isolation_steps.py
@@ -158,7 +158,7 @@
 def replace_worker(context, name):
     """Let a worker crash, and add another one."""
     bench = context.bench
-    bench.end_life(name)
+    bench.end_incarnation(name)
     del bench.numbers[name]
     context.made += 1
     crash_steps.add_worker(bench, f"n{context.made}")
--- a/features/steps/job_steps.py
+++ b/features/steps/job_steps.py
@@ -1,4 +1,4 @@
-"""Steps about durable jobs: their life, placement, and histories."""
+"""Steps about durable jobs: their lifecycle, placement, and histories."""
 
 from __future__ import annotations
 
--- a/features/steps/late_end_steps.py
+++ b/features/steps/late_end_steps.py
@@ -86,7 +86,7 @@
     first, second = context.orders
     if when == "before":
         bench.end(second, messages.Ending.DONE)
-    bench.end_life(first.worker)
+    bench.end_incarnation(first.worker)
     if when == "after":
         bench.end(second, messages.Ending.DONE)
 
--- a/features/steps/proof_steps.py
+++ b/features/steps/proof_steps.py
@@ -31,8 +31,10 @@
     first = site.owner()
     first["process"].kill()
     context.lost = {row[2] for row in read_starts(context)}
-    listed = site.list_lives()
-    for vm in [vm for vm, life in listed.items() if life in context.lost]:
+    listed = site.list_incarnations()
+    for vm in [
+        vm for vm, incarnation in listed.items() if incarnation in context.lost
+    ]:
         site.order({"crash": vm})
     site_steps.wait_for(
         lambda: site.find_owner() not in (None, first), "another owner"
@@ -46,7 +48,7 @@
 
 @behave.then(
     "an owner that followed was told by each of these workers' VMs that "
-    "another life is there"
+    "another incarnation is there"
 )
 def check_told(context):
     site = context.own_fleet
--- a/features/steps/site_steps.py
+++ b/features/steps/site_steps.py
@@ -246,12 +246,12 @@
     for _ in range(count // 2):
         submit(context, spec="work_ms=300")
     wait_for(lambda: read_runs(context), "a start")
-    life = read_runs(context)[0][2]
+    incarnation = read_runs(context)[0][2]
     listed = json.loads(
         fleets.call(context.own_fleet.port, "GET", "/machines").body
     )
     machine = next(
-        vm["machine"] for vm in listed["machines"] if vm["id"] == life
+        vm["machine"] for vm in listed["machines"] if vm["id"] == incarnation
     )
     if fault == "crashed":
         context.own_fleet.order({"crash": machine})
@@ -260,7 +260,7 @@
     for _ in range(count - count // 2):
         submit(context, spec="work_ms=300")
     if fault == "dead":
-        # A VM without power comes back with a new life.
+        # A VM without power comes back with a new incarnation.
         time.sleep(1)
         context.own_fleet.order({"crash": machine})
 
--- a/features/steps/sizing_steps.py
+++ b/features/steps/sizing_steps.py
@@ -166,7 +166,7 @@
     "a worker that comes there meanwhile ends with the move, unless of the "
     "new pool"
 )
-def check_new_lives(context):
+def check_new_incarnations(context):
     cluster = context.bench.cluster
     (vm, *_) = context.gone
     known = cluster.workers[vm].entry
--- a/features/steps/standing_steps.py
+++ b/features/steps/standing_steps.py
@@ -95,7 +95,7 @@
 def end_workers(context):
     context.answering.clear()
     for name in NAMES:
-        context.bench.end_life(name)
+        context.bench.end_incarnation(name)
 
 
 BLOCKERS = {
@@ -343,7 +343,7 @@
 
 @behave.when("another life answers in its place")
 def answer_other(context):
-    registry = mock.Mock(end_incarnation=context.bench.end_life)
+    registry = mock.Mock(end_incarnation=context.bench.end_incarnation)
     owner = mock.Mock(_cluster=context.bench.cluster, _registry=registry)
     with mock.patch.object(logs, "write_event") as written:
         owner._reporter = make_reporter(context)
--- a/features/steps/upkeep_steps.py
+++ b/features/steps/upkeep_steps.py
@@ -45,7 +45,7 @@
     bench = context.bench
     context.orders, context.busy = [], []
     context.greatest, context.early = 0, False
-    context.lives = {vm: vm for vm in context.vms}
+    context.incarnations = {vm: vm for vm in context.vms}
     # When each VM that is away is back.
     context.back = {}
     state = context.maintenance.waves[1]
@@ -72,39 +72,39 @@
         # Half of the tasks end at once, the others later.
         if order.run % 2:
             bench.end(order, messages.Ending.DONE)
-    for vm, life in context.lives.items():
+    for vm, incarnation in context.incarnations.items():
         if vm not in context.back:
-            bench.report(life, bench.rows(life))
+            bench.report(incarnation, bench.rows(incarnation))
 
 
 def maintain_chosen(context):
     """Carry out the orders to VMs, and note the runs on them."""
     bench, planner = context.bench, context.maintenance
     for order in planner.decide(bench.now):
-        worker = bench.cluster.workers[context.lives[order.vm]]
+        worker = bench.cluster.workers[context.incarnations[order.vm]]
         context.busy.extend(worker.runs)
         context.orders.append(order.vm)
         planner.note_ordered(order, bench.now)
-        bench.end_life(worker.identity)
+        bench.end_incarnation(worker.identity)
         context.back[order.vm] = bench.now + AWAY_S
 
 
 def bring_back(context):
     """Start new incarnations on VMs whose maintenance is over."""
-    bench, lives = context.bench, context.lives
+    bench, incarnations = context.bench, context.incarnations
     for vm, time in list(context.back.items()):
         if bench.now >= time:
             del context.back[vm]
-            lives[vm] += "x"
-            bench.numbers[lives[vm]] = 0
+            incarnations[vm] += "x"
+            bench.numbers[incarnations[vm]] = 0
             entry = dataclasses.replace(
                 models.FakeWorker(
-                    models.World(), lives[vm], models.Rules(), 1.0
+                    models.World(), incarnations[vm], models.Rules(), 1.0
                 ).entry(),
                 vm=vm,
             )
             bench.cluster.set_entry(entry)
-            bench.report(lives[vm])
+            bench.report(incarnations[vm])
 
 
 def close_and_list(context):
@@ -117,8 +117,8 @@
         )
     planner.take_list(
         [
-            vms.list_vm(vm, worker=life, up=vm not in context.back)
-            for vm, life in context.lives.items()
+            vms.list_vm(vm, worker=incarnation, up=vm not in context.back)
+            for vm, incarnation in context.incarnations.items()
         ],
         bench.now,
     )
@@ -127,8 +127,8 @@
 def end_long_work(context):
     """End work that lasts too long for the wave's grace period."""
     bench = context.bench
-    for life in context.lives.values():
-        worker = bench.cluster.workers.get(life)
+    for incarnation in context.incarnations.values():
+        worker = bench.cluster.workers.get(incarnation)
         runs = list(worker.runs.values()) if worker is not None else []
         for placed in runs:
             if bench.now - placed.run.since > 2.0:
@@ -156,9 +156,9 @@
 
 
 @behave.when(
-    "the platform's list still names the old life of a VM that has work"
+    "the platform's list still names the old incarnation of a VM that has work"
 )
-def work_on_new_life(context):
+def work_on_new_incarnation(context):
     bench = context.bench
     bench.add(definition.Step(tasks=2, cpu=4))
     orders = bench.start_all()
--- a/features/stutter_bench.py
+++ b/features/stutter_bench.py
@@ -24,7 +24,7 @@
 PAUSE_S = 0.002
 # The platform's clock and revisions are beyond 0 from the beginning.
 REVISION = 100
-LIFE = "i-1"
+IDENTITY = "i-1"
 
 
 class Stutterer:
@@ -100,7 +100,7 @@
         if path == "/machines":
             row = {"machine": f"m-{number}", "state": "up"}
             return {"machines": [row], "next-token": None}
-        return {"good": [[LIFE, f"ticket-{number}"]], "valid_ms": 1000}
+        return {"good": [[IDENTITY, f"ticket-{number}"]], "valid_ms": 1000}
 
 
 def _send(sock, answer):
@@ -120,7 +120,7 @@
     def __init__(self, server):
         self._server = server
         host, port = "127.0.0.1", server.port
-        self.worker = workers.Worker(host, port, LIFE, timeout=TIMEOUT_S)
+        self.worker = workers.Worker(host, port, IDENTITY, timeout=TIMEOUT_S)
         self.store = stores.Store(
             host,
             port,
@@ -210,10 +210,10 @@
 
     def ask(self):
         """The same for an admission."""
-        outcome = self.adviser.ask("step", [LIFE], TIMEOUT_S)
+        outcome = self.adviser.ask("step", [IDENTITY], TIMEOUT_S)
         if not isinstance(outcome, advisers.Admitted):
             return None
-        return int(outcome.tickets[LIFE].removeprefix("ticket-"))
+        return int(outcome.tickets[IDENTITY].removeprefix("ticket-"))
 
 
 CALLS = {
--- a/features/upkeep.feature
+++ b/features/upkeep.feature
@@ -20,9 +20,9 @@
       | 6   | 0       | maintenance | is     |
       | 60  | 10      | surplus     | is not |
 
-  Scenario: A VM whose worker has a new life is vacated by that life
+  Scenario: A VM whose worker has a new incarnation is vacated by that incarnation
     Given a pool of 2 VMs and a wave over all of them that bears 1 away
-    When the platform's list still names the old life of a VM that has work
+    When the platform's list still names the old incarnation of a VM that has work
     Then that VM is not maintained
 
   Scenario: A new owner goes on where the old one ended
--- a/src/rackvalve/explain/story.py
+++ b/src/rackvalve/explain/story.py
@@ -250,7 +250,10 @@
         f"{event.vm}: {event.name} ({describe(event)})"
         for event in around
         if event.name in _OWNERSHIP_EVENTS
-        or (event.name in _WORKER_EVENTS and _find_life(event) in workers)
+        or (
+            event.name in _WORKER_EVENTS
+            and _find_incarnation(event) in workers
+        )
     )
     if pause.ended is None or pause.ended.name == "run.ordered":
         causes.extend(_find_want_of_right(own, around))
@@ -258,8 +261,8 @@
     return causes
 
 
-def _find_life(event: Event) -> object:
-    """Return the life of a worker that an event tells of."""
+def _find_incarnation(event: Event) -> object:
+    """Return the incarnation of a worker that an event tells of."""
     return event.get("before") or event.get("worker")
 
 
--- a/standins/site.py
+++ b/standins/site.py
@@ -32,7 +32,7 @@
 # The slowest clock that the platform's pages allow.
 SLOW_RATE = 0.98
 # How long after a crash by a task the worker's entry stays, and when the next
-# life is there, in seconds; and when one is that keeps its name.
+# incarnation is there, in seconds; and when one is that keeps its name.
 CRASHED_ENTRY_S = 1.5
 CRASHED_AWAY_S = 2.5
 RESTARTED_AWAY_S = 0.3
@@ -49,7 +49,7 @@
     :param rate: How fast its workers' steady clocks run.
     :param waves: Waves for which it was maintained.
     :param state: What the platform's list says of it.
-    :param worker: The life on it, if there is one.
+    :param worker: The incarnation on it, if there is one.
     """
 
     pool: str
@@ -76,8 +76,8 @@
         self.slow_clocks = options.slow_clocks
         self.away = {"moving": options.move, "upkeep": options.upkeep}
         self.list_lag = options.list_lag
-        # Whether workers tell their births.
-        self.tells_births = not options.no_births
+        # Whether workers report their start times.
+        self.reports_start_times = not options.no_births
         # Whether workers that tasks have crashed keep their names.
         self.keep_names = options.keep_names
         # Copies of the list of VMs, each with its time.
@@ -86,7 +86,7 @@
         self.store = keyvalue.Store()
         self.capacity = capacity
         self.journal = []
-        # Lives of workers, and when lasting tasks came to be at work.
+        # Incarnations of workers, and when lasting tasks came to be at work.
         self.states = []
         # Ends that were acknowledged.
         self.known = []
@@ -115,16 +115,16 @@
         _, task, run, how, _ = row
         self.known.append([time.monotonic(), worker.identity, task, run, how])
 
-    def carry_out(self, life, path, order):
+    def carry_out(self, incarnation, path, order):
         """Carry a call out that was left, by whoever has the name now.
 
-        Not by a later life that nobody has asked yet: it has no token to
-        refuse a call by, and no caller can keep it from that.
+        Not by a later incarnation that nobody has asked yet: it has no token
+        to refuse a call by, and no caller can keep it from that.
         """
-        present = self.machines[life.machine].worker
-        if present is None or present.identity != life.identity:
+        present = self.machines[incarnation.machine].worker
+        if present is None or present.identity != incarnation.identity:
             return
-        if present is life or present.fence:
+        if present is incarnation or present.fence:
             present.carry_out(path, order)
 
     def _choose_rate(self):
@@ -132,7 +132,7 @@
         return SLOW_RATE if slow else 1.0
 
     def start_worker(self, name, identity=""):
-        """Begin a new life on a VM.
+        """Begin a new incarnation on a VM.
 
         :param name: The VM.
         :param identity: The worker's name if it has one from before.
@@ -140,7 +140,7 @@
         machine = self.machines[name]
         if machine.worker is not None:
             return
-        life = workers.Worker(
+        incarnation = workers.Worker(
             self,
             name,
             machine.pool,
@@ -149,15 +149,17 @@
             machine.rate,
             identity,
         )
-        life.server = serving.make_server(HOST, machine.port, life)
-        life.server.start()
-        machine.worker = life
-        self.note("life", life, name, 0, machine.pool)
+        incarnation.server = serving.make_server(
+            HOST, machine.port, incarnation
+        )
+        incarnation.server.start()
+        machine.worker = incarnation
+        self.note("life", incarnation, name, 0, machine.pool)
         machine.state = "up"
-        self._enlist(life)
+        self._enlist(incarnation)
 
     def end_worker(self, name, cause, entry=0.0, *, is_silent=False):
-        """End the life on a VM.
+        """End the incarnation on a VM.
 
         :param name: The VM.
         :param cause: Why, as the journal tells it.
@@ -165,18 +167,18 @@
         :param is_silent: Whether its address is silent, not closed.
         """
         machine = self.machines[name]
-        life = machine.worker
-        if life is None:
+        incarnation = machine.worker
+        if incarnation is None:
             return
-        life.end(cause)
-        self.note("over", life, name, 0, cause)
+        incarnation.end(cause)
+        self.note("over", incarnation, name, 0, cause)
         if is_silent:
-            life.fault = "silent"
+            incarnation.fault = "silent"
         else:
-            life.server.stop(timeout=0)
+            incarnation.server.stop(timeout=0)
         machine.worker = None
         machine.state = "down"
-        gevent.spawn_later(entry, self._remove_entry, life)
+        gevent.spawn_later(entry, self._remove_entry, incarnation)
 
     def __call__(self, environ, start_response):
         path = environ["PATH_INFO"]
@@ -312,7 +314,7 @@
 
         :param name: The VM.
         :param entry: How much longer the worker's entry stays, in seconds.
-        :param away: When the next life is there, in seconds.
+        :param away: When the next incarnation is there, in seconds.
         """
         if self.machines[name].worker is None:
             return
@@ -324,17 +326,17 @@
 
         :param name: The VM.
         :param entry: How much longer the worker's entry stays unless the next
-            life writes its own, in seconds.
-        :param away: When the next life is there, in seconds.
+            incarnation writes its own, in seconds.
+        :param away: When the next incarnation is there, in seconds.
         """
-        life = self.machines[name].worker
-        if life is None:
+        incarnation = self.machines[name].worker
+        if incarnation is None:
             return
         self.end_worker(name, "crash", entry)
-        life.cut_off()
+        incarnation.cut_off()
         # For the platform it is the same worker all along.
         self.machines[name].state = "up"
-        gevent.spawn_later(away, self.start_worker, name, life.identity)
+        gevent.spawn_later(away, self.start_worker, name, incarnation.identity)
 
     def crash_by_task(self, name):
         """Let a worker crash because of what it runs."""
@@ -344,25 +346,25 @@
             return
         self.crash(name, entry=CRASHED_ENTRY_S, away=CRASHED_AWAY_S)
 
-    def _remove_entry(self, life):
-        """Remove a life's entry, unless a later one has written its own."""
-        present = self.machines[life.machine].worker
-        if present is None or present.identity != life.identity:
-            self.store.remove(WORKER_PREFIX + life.identity)
+    def _remove_entry(self, incarnation):
+        """Remove an entry unless a later incarnation has written its own."""
+        present = self.machines[incarnation.machine].worker
+        if present is None or present.identity != incarnation.identity:
+            self.store.remove(WORKER_PREFIX + incarnation.identity)
 
     def _unlist(self, name, away):
         """Let a worker's entry be gone for a while."""
-        life = self.machines[name].worker
-        if life is None:
+        incarnation = self.machines[name].worker
+        if incarnation is None:
             return
-        self.store.remove(WORKER_PREFIX + life.identity)
-        gevent.spawn_later(away, self._enlist, life)
+        self.store.remove(WORKER_PREFIX + incarnation.identity)
+        gevent.spawn_later(away, self._enlist, incarnation)
 
-    def _enlist(self, life):
-        if life.alive:
+    def _enlist(self, incarnation):
+        if incarnation.alive:
             self.store.put(
-                WORKER_PREFIX + life.identity,
-                json.dumps(life.describe()).encode(),
+                WORKER_PREFIX + incarnation.identity,
+                json.dumps(incarnation.describe()).encode(),
             )
 
 
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -5,7 +5,7 @@
 ``crash_ms=10`` to crash the worker that long after its start.  What each
 worker did, and what ended each run, stands in the site's journal.
 A worker that starts again keeps its name, knows nothing of before, and tells
-by ``born`` that it is another life; what its clock shows begins anew.
+by ``born`` that it is another incarnation; what its clock shows begins anew.
 Faults on command: ``dead`` neither answers nor runs on, ``silent`` does not
 answer and runs on, ``late`` leaves orders unanswered and carries them out
 after a while, ``late calls`` holds as well, ``closing`` ends connections by
@@ -31,7 +31,7 @@
 
 
 class Worker:
-    """One life of a worker, as a WSGI application."""
+    """One incarnation of a worker, as a WSGI application."""
 
     def __init__(
         self, site, machine, pool, port, capacity, rate=1.0, identity=""
@@ -40,8 +40,10 @@
         self.rate = rate
         self.site = site
         self.identity = identity or f"i-{uuid.uuid4().hex[:10]}"
-        # What it tells of its birth; ``None`` to tell nothing.
-        self.born = int(time.time() * 1000) if site.tells_births else None
+        # The start time that it reports; ``None`` to tell nothing.
+        self.born = (
+            int(time.time() * 1000) if site.reports_start_times else None
+        )
         # When its clock showed nothing yet.
         self.began = time.monotonic() if identity else 0.0
         self.machine = machine
@@ -77,10 +79,10 @@
             "machine": self.machine,
             "clock-ms": int(self.clock() * 1000),
             "seq": 1,
-            **self._describe_birth(),
+            **self._describe_start_time(),
         }
 
-    def _describe_birth(self):
+    def _describe_start_time(self):
         return {} if self.born is None else {"born": self.born}
 
     def clock(self):
@@ -88,7 +90,7 @@
         return (time.monotonic() - self.began) * self.rate
 
     def end(self, cause):
-        """End this life; all that runs dies.
+        """End this incarnation; all that runs dies.
 
         :param cause: Why, as the journal tells it.
         """
@@ -198,7 +200,7 @@
         ]
         return "200 OK", {
             **self._clock_body(),
-            **self._describe_birth(),
+            **self._describe_start_time(),
             "running": running,
             "ended": self.ended,
         }
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -296,7 +296,7 @@
         return vm.worker is None or self.is_cut(vm)
 
     def _appear(self, vm: vms.Vm) -> None:
-        worker = vm.begin_life()
+        worker = vm.start_incarnation()
         self._by_worker[worker.identity] = vm
         self.cluster.set_entry(vm.entry(self.plan.fleet.capacity))
         if not self.is_cut(vm):
--- a/tools/emulator/vms.py
+++ b/tools/emulator/vms.py
@@ -42,7 +42,7 @@
 
 
 class Worker:
-    """One life of a worker.
+    """One incarnation of a worker.
 
     :param identity: Its identity.
     """
@@ -94,7 +94,7 @@
         "hall",
         "pool",
         "condition",
-        "lives",
+        "incarnations",
         "worker",
         "slow_until",
         "slowness",
@@ -106,16 +106,16 @@
         self.hall = hall
         self.pool = pool
         self.condition = fleet.Condition.UP
-        self.lives = 0
+        self.incarnations = 0
         self.worker: Worker | None = None
         self.slow_until = float("-inf")
         self.slowness = 1.0
 
-    def begin_life(self) -> Worker:
+    def start_incarnation(self) -> Worker:
         """Start a new worker."""
-        self.lives += 1
+        self.incarnations += 1
         self.condition = fleet.Condition.UP
-        self.worker = Worker(f"{self.name}-{self.lives}")
+        self.worker = Worker(f"{self.name}-{self.incarnations}")
         return self.worker
 
     @property
--- a/tools/site.py
+++ b/tools/site.py
@@ -237,8 +237,8 @@
             if machine["pool"] == pool
         ]
 
-    def list_lives(self):
-        """Return the life of a worker on each VM; ``None`` for none."""
+    def list_incarnations(self):
+        """Return the worker's incarnation on each VM, or ``None``."""
         listed = self._call(self.port, "GET", "/machines")
         return {vm["machine"]: vm["id"] for vm in listed["machines"]}
 
--- a/tools/soak/harms.py
+++ b/tools/soak/harms.py
@@ -23,8 +23,8 @@
 WAVE_GAP_S = 12
 # A crashed worker's entry stays so long: until three heartbeats were missed.
 ENTRY_S = 1.5
-# A life that is out of reach soon is heard for less than this, and silent for
-# more and less than this after it, in seconds.
+# An incarnation that is out of reach soon is heard for less than this, and
+# silent for more and less than this after it, in seconds.
 HEARD_MOST_S = 0.8
 SILENT_S = (0.7, 4.0)
 # Workers are harmed on one of so many VMs on which most runs.
@@ -271,7 +271,7 @@
         return machine
 
     def _crash(self, machine, how, fault):
-        """Crash a worker; the next life may be out of reach soon."""
+        """Crash a worker; the next incarnation may be out of reach soon."""
         order = {"crash": machine, "away": fault.length, "entry": ENTRY_S}
         self._site.order(order)
         gevent.sleep(fault.length)
--- a/tools/soak/stillness.py
+++ b/tools/soak/stillness.py
@@ -105,20 +105,24 @@
 
 def _find_reason(rows, pool, began, ended, slots):
     """Return why something of a pool could have been started, or nothing."""
-    lives, used, starts = {}, collections.Counter(), 0
+    incarnations, used, starts = {}, collections.Counter(), 0
     for time, kind, worker, _, _, detail in rows:
         if time > ended:
             break
         if kind == "life":
             # A worker that comes within the time might be too late.
-            lives[worker] = detail if time < began else ""
+            incarnations[worker] = detail if time < began else ""
         elif kind == "over":
-            lives.pop(worker, None)
+            incarnations.pop(worker, None)
         elif kind == "start" and time >= began:
-            starts += lives.get(worker) == pool
+            starts += incarnations.get(worker) == pool
         elif kind in ("start", "end") and time < began:
             used[worker] += 1 if kind == "start" else -1
-    own = [worker for worker, life in lives.items() if life == pool]
+    own = [
+        worker
+        for worker, incarnation in incarnations.items()
+        if incarnation == pool
+    ]
     if not starts and all(used[worker] > slots / 2 for worker in own):
         return ""
     runs = [used[worker] for worker in own]
