--- a/features/job_owner.py
+++ b/features/job_owner.py
@@ -67,7 +67,7 @@
         self.cluster, self.handler = made.cluster, made.handler
         self.planner = made.planner
         self.maintenance = maintenance.MaintenancePlanner(self.cluster)
-        self.silence = failure_detector.FailureDetector(
+        self.detector = failure_detector.FailureDetector(
             self.cluster, self.maintenance
         )
         if rules.keep_bound:
@@ -155,7 +155,7 @@
         if self.listed is not None:
             self.maintenance.take_list(*self.listed)
             self.listed = None
-        self.silence.check(self.world.now)
+        self.detector.check(self.world.now)
         self.planner.stop_and_release(self.world.now, self.world.now)
         self.planner.plan(self.world.now, self.world.now)
         if not self.rules.record:
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -54,7 +54,7 @@
         for name in context.names:
             if name not in context.silent:
                 bench.report(name, bench.rows(name))
-        context.silence.check(bench.now)
+        context.detector.check(bench.now)
         context.moves.extend(context.sizing.decide(bench.now))
         for order in context.bench.start_all():
             assert order.worker not in context.silent, order
@@ -86,7 +86,7 @@
 def list_all(context):
     read = context.bench.now - 2.0
     context.maintenance.take_list(list(context.listed.values()), read)
-    context.silence.check(context.bench.now)
+    context.detector.check(context.bench.now)
 
 
 CONDITIONS = {
@@ -125,7 +125,7 @@
     pass_time(context, failure_detector.OVERDUE_S + TICK_S)
     left_out = context.listed.pop(context.lost)
     pass_time(context, TICK_S)
-    context.silence.check(context.bench.now)
+    context.detector.check(context.bench.now)
     context.listed[context.lost] = left_out
 
 
--- a/features/steps/restarted_life_steps.py
+++ b/features/steps/restarted_life_steps.py
@@ -222,7 +222,7 @@
 def add_later(context, age):
     bench = context.bench = benches.Bench([])
     context.maintenance = maintenance.MaintenancePlanner(bench.cluster)
-    context.silence = failure_detector.FailureDetector(
+    context.detector = failure_detector.FailureDetector(
         bench.cluster, context.maintenance
     )
     bench.cluster.set_entry(make_entry(LATER))
@@ -246,7 +246,7 @@
     bench = context.bench
     row = vm_bench.list_vm(EARLIER, worker=worker, up=bool(worker))
     context.maintenance.take_list([row], bench.now)
-    context.silence.check(bench.now)
+    context.detector.check(bench.now)
 
 
 @behave.when("a list is read right after its last answer and names no worker")
--- a/features/vm_bench.py
+++ b/features/vm_bench.py
@@ -48,11 +48,11 @@
     context.bench = benches.Bench(names, capacity=WIDE)
     make_pools(context.bench.cluster)
     context.maintenance = maintenance.MaintenancePlanner(context.bench.cluster)
-    context.silence = failure_detector.FailureDetector(
+    context.detector = failure_detector.FailureDetector(
         context.bench.cluster, context.maintenance
     )
     context.sizing = sizing.Sizer(
-        context.bench.cluster, context.maintenance, context.silence
+        context.bench.cluster, context.maintenance, context.detector
     )
     context.listed = {name: list_vm(name) for name in names}
     for number in range(spares):
@@ -72,6 +72,6 @@
         )
         for name in context.names:
             context.bench.report(name, context.bench.rows(name))
-        context.silence.check(context.bench.now)
+        context.detector.check(context.bench.now)
         moves.extend(context.sizing.decide(context.bench.now))
     return moves
--- a/tools/baselines/decisions.py
+++ b/tools/baselines/decisions.py
@@ -17,25 +17,25 @@
 
 
 class BlindFailureDetector(failure_detector.FailureDetector):
-    """Takes every worker to be there until its entry or lease is gone."""
+    """Takes each worker as reachable until its entry or lease is gone."""
 
     __slots__ = ()
 
     def check(self, now):
-        """See nothing.
+        """Detect no silent worker.
 
         :param now: Present time, in seconds.
         """
         return []
 
 
-class BlindSpeeds(speeds.Speeds):
+class UniformSpeeds(speeds.Speeds):
     """Takes every worker to be as fast as the others."""
 
     __slots__ = ()
 
     def detect_slowness(self, worker, durations, now):
-        """See nothing.
+        """Detect no slow worker.
 
         :param worker: The worker.
         :param durations: Mean time of a task by queue, in seconds.
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -89,9 +89,9 @@
             ),
         )
         self.maintenance = maintenances.MaintenancePlanner(self.cluster)
-        self.silence = policy.silence(self.cluster, self.maintenance)
+        self.detector = policy.detector(self.cluster, self.maintenance)
         self.sizing = sizings.Sizer(
-            self.cluster, self.maintenance, self.silence
+            self.cluster, self.maintenance, self.detector
         )
         self.vms = {
             f"m{n}": vms.Vm(
@@ -250,7 +250,7 @@
     def _care(self) -> None:
         if not self._is_away():
             self.maintenance.take_list(self._list(), self.now)
-            self.silence.check(self.now)
+            self.detector.check(self.now)
             for maintain in self.maintenance.decide(
                 self.now,
                 short=self.sizing.is_short,
--- a/tools/emulator/plans.py
+++ b/tools/emulator/plans.py
@@ -81,12 +81,12 @@
     """Which parts of the product decide.
 
     :param planner: Plans starts.
-    :param silence: Tells who is out of reach or lost.
+    :param detector: Detects silent workers and halls.
     :param speeds: Tells which workers are slow.
     """
 
     planner: type[planners.Planner] = planners.Planner
-    silence: type[failure_detector.FailureDetector] = (
+    detector: type[failure_detector.FailureDetector] = (
         failure_detector.FailureDetector
     )
     speeds: type[speeds.Speeds] = speeds.Speeds
--- a/tools/experiments/crashes.py
+++ b/tools/experiments/crashes.py
@@ -143,11 +143,11 @@
 
 
 def _measure(site, case):
-    good, guilty = [], []
+    good, crashing_jobs = [], []
     began = time.monotonic()
     gevent.joinall(
         [
-            gevent.spawn(submit, site, case, good, guilty),
+            gevent.spawn(submit, site, case, good, crashing_jobs),
             gevent.spawn(_harm, site, case, began),
         ],
         raise_error=True,
@@ -155,23 +155,27 @@
     rest = began + WORK_S + SETTLE_S - time.monotonic()
     gevent.sleep(max(0.0, rest))
     ended = time.monotonic()
-    states = {job: site.state(QUEUE, job) for job in good + guilty}
-    return _judge(site.journal()["journal"], states, good, guilty, ended)
+    states = {job: site.state(QUEUE, job) for job in good + crashing_jobs}
+    return _judge(
+        site.journal()["journal"], states, good, crashing_jobs, ended
+    )
 
 
-def submit(site, case, good, guilty, *, seconds=WORK_S):
+def submit(site, case, good, crashing_jobs, *, seconds=WORK_S):
     """Hand in jobs of each kind, evenly over a time.
 
     :param site: The site.
     :param case: How many of each.
     :param good: Takes the identifiers of the jobs that could be done.
-    :param guilty: Takes those of the others.
+    :param crashing_jobs: Takes those of the others.
     :param seconds: The time.
     """
     spec = f"crash_ms={case.crash_ms} work_ms={GUILTY_WORK_MS}"
     crashing = ([{"count": case.tasks, "cpu": 500}], spec)
     due = [(0.0, good, LASTING)] * case.lasting
-    due += [(n * case.every, guilty, crashing) for n in range(case.crashing)]
+    due += [
+        (n * case.every, crashing_jobs, crashing) for n in range(case.crashing)
+    ]
     due += _spread(good, ORDINARY, ORDINARY_JOBS, seconds)
     due += _spread(good, GANG, case.gangs, seconds)
     began = time.monotonic()
@@ -201,22 +205,22 @@
         process.resume()
 
 
-def _judge(journal, states, good, guilty, ended):
+def _judge(journal, states, good, crashing_jobs, ended):
     crashes, late = collections.Counter(), collections.Counter()
-    lost, lives = 0, set()
+    lost, crashed = 0, set()
     for _, kind, worker, task, _, detail in journal:
-        is_guilty = task.partition(".")[0] in guilty
+        is_crashing = task.partition(".")[0] in crashing_jobs
         if kind == "end" and detail == "crash":
             crashes[task] += 1
-            lost += not is_guilty
-            lives.update({worker} if is_guilty else ())
+            lost += not is_crashing
+            crashed.update({worker} if is_crashing else ())
         elif kind == "start" and crashes[task] >= checks.CRASHES_MOST:
-            late[task] += is_guilty
+            late[task] += is_crashing
     still, stillest = _find_longest_still(journal, states, good, ended)
     return Seen(
         given_up=sum(states[job] == "failed" for job in good),
-        told=sum(states[job] == "failed" for job in guilty),
-        crashes=len(lives),
+        told=sum(states[job] == "failed" for job in crashing_jobs),
+        crashes=len(crashed),
         late_starts=max(late.values(), default=0),
         lost=lost,
         still=round(still, 2),
--- a/tools/experiments/decisions.py
+++ b/tools/experiments/decisions.py
@@ -74,7 +74,7 @@
 FIRST_COME = plans.Policy(planner=baselines.FirstComePlanner)
 # As the release before decided.
 UNAWARE = plans.Policy(
-    silence=baselines.BlindFailureDetector, speeds=baselines.BlindSpeeds
+    detector=baselines.BlindFailureDetector, speeds=baselines.UniformSpeeds
 )
 
 
