--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -54,7 +54,7 @@
         for name in context.names:
             if name not in context.silent:
                 bench.report(name, bench.rows(name))
-        context.silence.check(bench.now)
+        context.detector.check(bench.now)
         context.moves.extend(context.sizing.decide(bench.now))
         for order in context.bench.start_all():
             assert order.worker not in context.silent, order
@@ -86,13 +86,13 @@
 def list_all(context):
     read = context.bench.now - 2.0
     context.maintenance.take_list(list(context.listed.values()), read)
-    context.silence.check(context.bench.now)
+    context.detector.check(context.bench.now)
 
 
 CONDITIONS = {
     "off": {"lost": True, "worker": ""},
     "up": {},
-    "up with another life": {"worker": "w99"},
+    "up with another incarnation": {"worker": "w99"},
     "moved": {"up": False, "worker": ""},
 }
 
@@ -125,7 +125,7 @@
     pass_time(context, failure_detector.OVERDUE_S + TICK_S)
     left_out = context.listed.pop(context.lost)
     pass_time(context, TICK_S)
-    context.silence.check(context.bench.now)
+    context.detector.check(context.bench.now)
     context.listed[context.lost] = left_out
 
 
@@ -288,28 +288,32 @@
     assert planner.decide(bench.now)
 
 
-@behave.given('a life "{name}" on the VM "{vm}", last heard at {heard:d} s')
+@behave.given(
+    'an incarnation "{name}" on the VM "{vm}", last heard at {heard:d} s'
+)
 def make_incarnation(context, name, vm, heard):
-    context.life = (name, vm, float(heard))
+    context.incarnation = (name, vm, float(heard))
 
 
-@behave.given('a life "{name}" on the VM "", last heard at {heard:d} s')
+@behave.given(
+    'an incarnation "{name}" on the VM "", last heard at {heard:d} s'
+)
 def make_incarnation_without_vm(context, name, heard):
-    context.life = (name, "", float(heard))
+    context.incarnation = (name, "", float(heard))
 
 
 @behave.when("lists read at {first:d} s and {second:d} s name {what}")
 def take_lists(context, first, second, what):
-    name = context.life[0]
-    worker = name if what.startswith("the life") else ""
+    name = context.incarnation[0]
+    worker = name if what.startswith("the incarnation") else ""
     listed = {"m-2": vms.list_vm("m-2", worker=worker)}
     context.listings = listings.Listings()
     for read in (first, second):
         context.listings.update(listed, float(read), {name})
 
 
-@behave.then("the life is not proved over")
+@behave.then("the incarnation is not proved over")
 def check_not_proved(context):
-    name, vm, heard = context.life
+    name, vm, heard = context.incarnation
     began = float("-inf")
     assert not context.listings.prove_over(name, vm, began=began, alive=heard)
