--- a/features/stutter_bench.py
+++ b/features/stutter_bench.py
@@ -142,7 +142,7 @@
             acknowledged=0,
             wait=0.0,
             timeout=TIMEOUT_S,
-            min_clock=self._clock.find_least(time.monotonic()),
+            min_clock=self._clock.find_min(time.monotonic()),
         )
         if not isinstance(outcome, workers.Report):
             return None
@@ -155,7 +155,7 @@
             task="t",
             run=1,
             fence=1,
-            min_clock=self._clock.find_least(time.monotonic()),
+            min_clock=self._clock.find_min(time.monotonic()),
         )
         if not isinstance(outcome, workers.Done):
             return None
--- a/src/rackvalve/manager/owner.py
+++ b/src/rackvalve/manager/owner.py
@@ -157,7 +157,7 @@
 
     @property
     def durable(self) -> int:
-        """Number of the last write that is in the store."""
+        """Sequence number up to which all writes are in the store."""
         return self._writer.durable
 
     @property
--- a/src/rackvalve/manager/view.py
+++ b/src/rackvalve/manager/view.py
@@ -63,7 +63,7 @@
         """
         for item in items:
             self.apply_item(item)
-        found = [documents.evacuated_hall_of(item.key) for item in items]
+        found = [documents.parse_evacuation_key(item.key) for item in items]
         self._set_evacuated({hall for hall in found if hall is not None})
 
     def apply_changes(self, changes: stores.Changes) -> None:
@@ -75,7 +75,7 @@
             self.apply_item(item)
         halls = set(self.evacuated)
         for key, exists in _list_changes(changes):
-            hall = documents.evacuated_hall_of(key)
+            hall = documents.parse_evacuation_key(key)
             if hall is not None and exists:
                 halls.add(hall)
             elif hall is not None:
--- a/src/rackvalve/manager/worker_registry.py
+++ b/src/rackvalve/manager/worker_registry.py
@@ -98,7 +98,7 @@
         present = set()
         for item in items:
             self._apply_entry(item)
-            present.add(documents.worker_of(item.key))
+            present.add(documents.parse_worker_key(item.key))
         now = clocks.read_steady()
         for worker in self._cluster.workers.values():
             name = worker.incarnation.worker
@@ -118,7 +118,9 @@
         written = {item.key: item.revision for item in changes.written}
         for key, revision in changes.removed:
             if written.get(key, 0) < revision:
-                self._cluster.remove_entry(documents.worker_of(key), now)
+                self._cluster.remove_entry(
+                    documents.parse_worker_key(key), now
+                )
         self._on_change()
 
     def end_incarnation(
@@ -264,7 +266,7 @@
             )
             # The worker gets no work, but an incarnation that had a valid
             # entry before is not over.
-            name = documents.worker_of(item.key)
+            name = documents.parse_worker_key(item.key)
             self._cluster.remove_entry(name, clocks.read_steady())
             return
         self._log_entry(entry, item.revision)
--- a/src/rackvalve/manager/worker_session.py
+++ b/src/rackvalve/manager/worker_session.py
@@ -167,10 +167,10 @@
         An unexpected error counts as no answer: it has changed nothing, and
         the next owner would meet it as well.
         """
-        least = self._clock.find_least(clocks.read_steady())
+        min_clock = self._clock.find_min(clocks.read_steady())
         fence = self._owner.tokens.find(self._worker)
         try:
-            outcome = call(min_clock=least, fence=fence, **fields)
+            outcome = call(min_clock=min_clock, fence=fence, **fields)
         except Exception as error:
             logs.write_failure("task.failed", message=self._worker.identity)
             return connections.NoAnswer(reason=repr(error), sent=True)
--- a/src/rackvalve/platform/documents.py
+++ b/src/rackvalve/platform/documents.py
@@ -161,12 +161,13 @@
     :raises DocumentInvalidError: The entry does not decode or is unusable.
     """
     wire = _decode(payload, _WireServer)
-    _check_server(worker_of(key), wire)
+    _check_server(parse_worker_key(key), wire)
     host, port = _read_address(wire.addr)
     rack = wire.labels[RACK_LABEL] if len(wire.labels) > RACK_LABEL else ""
     remaining = wire.remaining_ms
     incarnation = incarnations.Incarnation(
-        worker=worker_of(key), born=start_times.parse_start_time(wire.born)
+        worker=parse_worker_key(key),
+        born=start_times.parse_start_time(wire.born),
     )
     return fleet.Entry(
         identity=incarnation.identity,
@@ -223,7 +224,7 @@
     return host, int(port)
 
 
-def worker_of(key: str) -> str:
+def parse_worker_key(key: str) -> str:
     """Return the name of the worker in the key of an entry.
 
     :param key: The key of a worker's entry.
@@ -231,7 +232,7 @@
     return key.removeprefix(WORKER_PREFIX)
 
 
-def evacuated_hall_of(key: str) -> str | None:
+def parse_evacuation_key(key: str) -> str | None:
     """Return the hall in the key of an evacuation order.
 
     :param key: Key of any document.
--- a/src/rackvalve/scheduling/worker_clock.py
+++ b/src/rackvalve/scheduling/worker_clock.py
@@ -38,7 +38,7 @@
             1 - workers.CLOCK_TOLERANCE
         )
 
-    def find_least(self, now: float) -> float:
+    def find_min(self, now: float) -> float:
         """Return the lowest reading that an answer to a call now can report.
 
         :param now: Present time, in seconds.
