--- a/src/rackvalve/logs.py
+++ b/src/rackvalve/logs.py
@@ -57,26 +57,26 @@
     "worker.found": "A worker was seen for the first time.",
     "worker.recorded": "A worker that only records name is asked.",
     "worker.established": "A worker has taken the owner's fencing token.",
-    "worker.restarted": "Another life of a worker answers under its name; "
-    "says what the one before had told last.",
+    "worker.restarted": "Another incarnation of a worker answers under its "
+    "name; says what the earlier one reported last.",
     "worker.draining": "A worker says that it will leave.",
     "worker.lost": "What ran on a worker is over: its VM is off or gone.",
     "worker.released": "Runs of a worker are over without its word; says what "
     "proves it, what became of the worker, and how many.",
-    "worker.over": "A worker's life is over; says what proves it.",
-    "job.accepted": "A job is kept and its caller was told so.",
+    "worker.over": "A worker's incarnation is over; says what proves it.",
+    "job.accepted": "A job is stored and its caller was told so.",
     "job.taken": "The owner learned of a job.",
-    "job.begun": "A worker has said that a first task of a job is there.",
+    "job.begun": "A worker has confirmed the first run of a job.",
     "jobs.counted": "How many jobs of each queue have not begun, as the owner "
     "publishes it, and for how many of them a start is under way.",
     "count.told": "A caller was told how many jobs of a queue have not begun.",
-    "job.cancel_recorded": "A caller's cancelling is kept.",
+    "job.cancel_recorded": "A caller's cancellation is stored.",
     "job.cancelled": "The owner ends a job at its caller's wish.",
     "job.ended": "A job's last state is in the store.",
-    "job.standing": "A task's turn has come and nothing of its job is at "
-    "work; says why, once for each reason.",
-    "pool.standing": "How many jobs of a pool stand still, by reason; says "
-    "which one longest and what its workers are at.",
+    "job.standing": "A job is stalled: a task's turn has come and no run is "
+    "active; says why, once for each reason.",
+    "pool.standing": "How many jobs of a pool are stalled, by reason; says "
+    "which one longest, and the state of its workers.",
     "workspace.held": "Tasks wait since their workspace has as much running "
     "as its bound allows.",
     "run.ordered": "A worker is told to start a run.",
@@ -87,7 +87,7 @@
     "order.undeliverable": "An order's worker is not known.",
     "admission.given": "The admission service answered for a step.",
     "admission.failed": "The admission service gave no answer; says why.",
-    "run.paced": "A worker is told to let a run work at a share.",
+    "run.paced": "A worker is told to pace a run at a share.",
     "halls.evacuated": "Nothing more is sent to the VMs of these halls.",
     "wave.taken": "The owner learned of a maintenance wave.",
     "wave.status": "A wave's status is published.",
