--- a/features/steps/other_incarnation_steps.py
+++ b/features/steps/other_incarnation_steps.py
@@ -22,7 +22,7 @@
 
     def __init__(self):
         self.host = HOST
-        self.tells_births = True
+        self.reports_start_times = True
         self.started = []
 
     def note(self, kind, worker, task, run, detail):
